--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -190,7 +190,7 @@
                 retry_after=self._wishes.come_back_s(found),
             )
         among = self._among(awake, peers)
-        if not among.first:
+        if not among.preferred:
             raise errors.NoInstance(
                 f'all instances of {service} that are left are cold',
                 retry_after=_ELSEWHERE_S,
@@ -202,7 +202,7 @@
             stay_s=self._stays.of(service),
         )
         if not parts:
-            return placement.by_load(among.first, counts, self._domain)
+            return placement.by_load(among.preferred, counts, self._domain)
         choice = placement.by_prefix(parts, among, counts, self._domain)
         return self._with_source(service, parts, choice, regions)
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -76,7 +76,7 @@
         now, since they are cold or evacuated, or failed the request
     """
 
-    first: Instances
+    preferred: Instances
     reserve: Instances
     peers: Instances
 
@@ -94,11 +94,11 @@
     """
     total = sum(counts.known(instance.id) for instance in among.peers)
     bound = _BOUND * (total + 1) / len(among.peers) + _BOUND_EXTRA
-    for found in (among.first, among.reserve):
+    for found in (among.preferred, among.reserve):
         choice = _under_bound(parts, found, counts, bound)
         if choice is not None:
             return choice
-    return by_load(among.first, counts, domain)
+    return by_load(among.preferred, counts, domain)
 
 
 def _under_bound(
