--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -215,7 +215,10 @@
         """Give each instance its place."""
         if self._assigner is None:
             self._assigner = places.Assigner(self._node.machine.places)
-        seen = [places.Seen(one.id, one.service, one.leaving) for one in found]
+        seen = [
+            places.ListedInstance(one.id, one.service, one.leaving)
+            for one in found
+        ]
         now = asyncio.get_running_loop().time()
         given = self._assigner.assign(seen, now)
         for one in found:
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class Seen:
+class ListedInstance:
     """An instance as the platform lists it."""
 
     id: str
@@ -80,7 +80,7 @@
         self._first_seen: dict[str, float] = {}
 
     def assign(
-        self, listed: collections.abc.Collection[Seen], now: float
+        self, listed: collections.abc.Collection[ListedInstance], now: float
     ) -> dict[str, str]:
         """Return the place of each instance that has one.
 
@@ -89,7 +89,7 @@
         self._first_seen = {
             one.id: self._first_seen.get(one.id, now) for one in listed
         }
-        members: dict[str, list[Seen]] = {}
+        members: dict[str, list[ListedInstance]] = {}
         for one in listed:
             members.setdefault(one.service, []).append(one)
         for service, found in members.items():
@@ -110,7 +110,9 @@
         }
         return Change(put, tuple(sorted(set(before) - set(self._holdings))))
 
-    def _fill(self, service: str, members: list[Seen], now: float) -> None:
+    def _fill(
+        self, service: str, members: list[ListedInstance], now: float
+    ) -> None:
         """Give places to the members of one service that have none."""
         known = [
             place
@@ -130,7 +132,7 @@
         for place in free[: max(0, surplus)]:
             del self._holdings[place]
 
-    def _give(self, place: str, one: Seen) -> None:
+    def _give(self, place: str, one: ListedInstance) -> None:
         before = self._holdings.pop(place, None)  # the latest stands last
         former = before.holder if before else ''
         self._holdings[place] = Holding(one.service, one.id, former)
