--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -107,7 +107,7 @@
             if not self._is_unsaved or self._assigner is None:
                 continue
             self._is_unsaved = False
-            change = self._assigner.change_from(self._node.machine.places)
+            change = self._assigner.diff_from(self._node.machine.places)
             if not change.is_empty:
                 await self._propose(change)
 
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -101,7 +101,7 @@
             if one.id in self._places
         }
 
-    def change_from(self, before: Holdings) -> Change:
+    def diff_from(self, before: Holdings) -> Change:
         """Return what leads from other holdings to the present ones."""
         put = {
             place: holding
