--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -196,7 +196,7 @@
     context.holders = prefixes.Holders()
     context.count = count
     for number in range(count):
-        context.holders.note(f'part-{number}', 'a')
+        context.holders.add(f'part-{number}', 'a')
 
 
 @behave.then('the latest {kept:d} of them are remembered')
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -275,7 +275,7 @@
         self._health.succeeded(instance.id)
         self._wishes.answered(instance.id)
         for part in prefixes.shared(parts):
-            self._holders.note(part.id, instance.id)
+            self._holders.add(part.id, instance.id)
 
     def failed(
         self,
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -56,7 +56,7 @@
             collections.OrderedDict()
         )
 
-    def note(self, part: str, instance: str) -> None:
+    def add(self, part: str, instance: str) -> None:
         """Note that an instance has read a part."""
         known = self._found.pop(part, ())
         others = tuple(name for name in known if name != instance)
