--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -204,7 +204,7 @@
     found = [
         number
         for number in range(context.count)
-        if context.holders.of(f'part-{number}')
+        if context.holders.holders_of(f'part-{number}')
     ]
     assert found == list(range(context.count - kept, context.count))
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -161,10 +161,10 @@
     :param others: instances that may be copied, the chosen one left out
     """
     shared = prefixes.shared(parts)
-    if not shared or chosen.id in holders.of(shared[-1].id):
+    if not shared or chosen.id in holders.holders_of(shared[-1].id):
         return None
     by_id = {one.id: one for one in others}
-    for name in holders.of(shared[-1].id):
+    for name in holders.holders_of(shared[-1].id):
         if name in by_id:
             return by_id[name]
     return _next_best(parts, others)
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -64,7 +64,7 @@
         if len(self._found) > _MOST_PARTS:
             self._found.popitem(last=False)
 
-    def of(self, part: str) -> tuple[str, ...]:
+    def holders_of(self, part: str) -> tuple[str, ...]:
         """Return the instances that hold a part, the latest one first."""
         return self._found.get(part, ())
 
