--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -290,7 +290,7 @@
         was seen to hold is copied to it again, which costs nothing where it
         is still there.
         """
-        self._holders.forget(instance.id)
+        self._holders.forget_instance(instance.id)
         pause = self._health.failed(
             instance.id, _now(), was_reached=was_reached
         )
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -68,7 +68,7 @@
         """Return the instances that hold a part, the latest one first."""
         return self._found.get(part, ())
 
-    def forget(self, instance: str) -> None:
+    def forget_instance(self, instance: str) -> None:
         """Forget what one instance holds: it may have started again."""
         self._forget(lambda name: name == instance)
 
