--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -144,7 +144,7 @@
         self._note_leaving(_now() if had_list else float('-inf'))
         self._health.forget_others(usable)
         present = {one.id for one in instances.instances}
-        self._holders.forget_others(present)
+        self._holders.retain(present)
         self._wishes.forget_others(present)
         self._warmth.forget_others(present)
         logs.emit(
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -72,7 +72,7 @@
         """Forget what one instance holds: it may have started again."""
         self._forget(lambda name: name == instance)
 
-    def forget_others(self, present: collections.abc.Container[str]) -> None:
+    def retain(self, present: collections.abc.Container[str]) -> None:
         """Forget the instances that are gone."""
         self._forget(lambda name: name not in present)
 
