--- a/src/honeyport/gateway/gate.py
+++ b/src/honeyport/gateway/gate.py
@@ -60,8 +60,8 @@
         self.check()
         return _now() - began
 
-    def _standing(self) -> admission.Standing:
-        return admission.Standing(
+    def _standing(self) -> admission.StartState:
+        return admission.StartState(
             started=self._started, has_served=self._has_served
         )
 
--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Standing:
+class StartState:
     """What a gateway without a lease knows of itself.
 
     :ivar started: when it began to take connections
@@ -40,7 +40,7 @@
     has_served: bool
 
 
-def wait_until(standing: Standing, until: float, now: float) -> float | None:
+def wait_until(standing: StartState, until: float, now: float) -> float | None:
     """Return until when a request waits for the lease.
 
     :param until: when its caller leaves
@@ -54,7 +54,7 @@
     return min(last, until - _SOON_S)
 
 
-def come_back_s(standing: Standing, now: float) -> float:
+def come_back_s(standing: StartState, now: float) -> float:
     """Return when a refused caller may come back, in seconds."""
     if standing.has_served:
         return _ELSEWHERE_S
