--- a/bench/rests.py
+++ b/bench/rests.py
@@ -85,7 +85,9 @@
     def __init__(self, name: str, domain: str, gateways: int) -> None:
         self.wishes = wishes.Wishes(headers.HeaderNames(), metrics.Metrics())
         self.balancer = balancer.Balancer(name, domain, {}, self.wishes)
-        self.budgets = repeats.Budgets(repeats.Allowance(), lambda: gateways)
+        self.budgets = repeats.RetryBudgets(
+            repeats.Allowance(), lambda: gateways
+        )
 
 
 class _Play:
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -131,7 +131,7 @@
 def make(context, count):
     """Return the budgets of some gateways that have just started."""
     return [
-        repeats.Budgets(context.allowance, lambda: context.known)
+        repeats.RetryBudgets(context.allowance, lambda: context.known)
         for _ in range(count)
     ]
 
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -66,7 +66,7 @@
             self._balancer,
             self._wishes,
             self._pool,
-            repeats.Budgets(allowance, lambda: len(self._state.present)),
+            repeats.RetryBudgets(allowance, lambda: len(self._state.present)),
             self._witness,
             self._suspects,
             counters,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -57,7 +57,7 @@
         choice: balancer.Balancer,
         asked: wishes.Wishes,
         connections: pool.Pool,
-        budgets: repeats.Budgets,
+        budgets: repeats.RetryBudgets,
         ends: witness.Witness,
         held: suspects.Suspects,
         counters: metrics.Metrics,
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -84,7 +84,7 @@
         self.repeats = _Window(window_s, _STEPS + 1)
 
 
-class Budgets:
+class RetryBudgets:
     """This gateway's part of the allowance, for each service.
 
     :param gateways: returns how many gateways take requests; 0 if unknown
