--- a/bench/rests.py
+++ b/bench/rests.py
@@ -132,7 +132,7 @@
     def _start(self, number: int) -> None:
         self.seen.requests += 1
         gateway = self._gateways[number]
-        gateway.budgets.earn(choices.SERVICE, _now())
+        gateway.budgets.record_request(choices.SERVICE, _now())
         tried: set[str] = set()
         parts = self._parts()
         for offer in range(_MOST_OFFERS):
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -43,7 +43,7 @@
     for number in range(per_s * seconds):
         context.now += 1 / per_s
         budgets = context.budgets[number % len(context.budgets)]
-        budgets.earn(_SERVICE, context.now)
+        budgets.record_request(_SERVICE, context.now)
 
 
 @behave.when('{count:d} streams break at once, {most:d} at one gateway')
@@ -85,7 +85,7 @@
             context.budgets = make(context, len(context.budgets))
             restart = now
         budgets = chance.choice(context.budgets)
-        budgets.earn(_SERVICE, now)
+        budgets.record_request(_SERVICE, now)
         sent.append(now)
         for _ in range(2):
             if now < failing and budgets.spend(_SERVICE, now):
@@ -140,7 +140,7 @@
     """Send requests to each gateway; repeat those that fail if it may."""
     for budgets in context.budgets:
         for number in range(count):
-            budgets.earn(_SERVICE, context.now)
+            budgets.record_request(_SERVICE, context.now)
             context.requests += 1
             while fails(number) and budgets.spend(_SERVICE, context.now):
                 context.repeated += 1
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -124,7 +124,7 @@
         match = table.find(request.host, request.path, request.api_key)
         timeout_s = match.route.timeout_ms / 1000
         service = routes.pick_service(match.route)
-        self._budgets.earn(service, request.received)
+        self._budgets.record_request(service, request.received)
         return exchanges.Exchange(
             request,
             reply,
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -99,7 +99,7 @@
         self._gateways = gateways
         self._ledgers: dict[str, _Ledger] = {}
 
-    def earn(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request."""
         ledger = self._of(service)
         ledger.requests.total(now)  # drops what is too old to count
