--- a/bench/rests.py
+++ b/bench/rests.py
@@ -136,7 +136,9 @@
         tried: set[str] = set()
         parts = self._parts()
         for offer in range(_MOST_OFFERS):
-            if offer and not gateway.budgets.spend(choices.SERVICE, _now()):
+            if offer and not gateway.budgets.try_spend(
+                choices.SERVICE, _now()
+            ):
                 break
             try:
                 chosen = gateway.balancer.choose(
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -52,7 +52,8 @@
     others = len(context.budgets) - 1
     hit += [1 + number % others for number in range(count - most)]
     context.repeated = sum(
-        context.budgets[number].spend(_SERVICE, context.now) for number in hit
+        context.budgets[number].try_spend(_SERVICE, context.now)
+        for number in hit
     )
 
 
@@ -88,7 +89,7 @@
         budgets.record_request(_SERVICE, now)
         sent.append(now)
         for _ in range(2):
-            if now < failing and budgets.spend(_SERVICE, now):
+            if now < failing and budgets.try_spend(_SERVICE, now):
                 repeated.append(now)
     return [
         (at, found, most)
@@ -142,7 +143,7 @@
         for number in range(count):
             budgets.record_request(_SERVICE, context.now)
             context.requests += 1
-            while fails(number) and budgets.spend(_SERVICE, context.now):
+            while fails(number) and budgets.try_spend(_SERVICE, context.now):
                 context.repeated += 1
                 if not number:
                     break
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -362,7 +362,7 @@
     def _spend(self, exchange: exchanges.Exchange) -> bool:
         """Take one more offer out of the allowance, if there is one."""
         now = asyncio.get_running_loop().time()
-        allowed = self._budgets.spend(exchange.service, now)
+        allowed = self._budgets.try_spend(exchange.service, now)
         if not allowed:
             logs.emit(
                 events.ALLOWANCE_SPENT,
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -105,7 +105,7 @@
         ledger.requests.total(now)  # drops what is too old to count
         ledger.requests.add(now)
 
-    def spend(self, service: str, now: float) -> bool:
+    def try_spend(self, service: str, now: float) -> bool:
         """Take one more offer out; return whether there was one."""
         ledger = self._of(service)
         gateways = self._gateways() or _MANY_GATEWAYS
