--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -23,7 +23,7 @@
 
 @behave.given('a record of requests')
 def step_record(context):
-    context.register = suspicion.Register({}, 0.0)
+    context.register = suspicion.EndRegister({}, 0.0)
     context.now = 100.0
     context.count = 0
     context.gone = set()
@@ -91,7 +91,7 @@
 def step_new_leader(context):
     noted = {_REQUEST: context.register.instances(_REQUEST)}
     context.now += _APART_S
-    context.register = suspicion.Register(noted, context.now)
+    context.register = suspicion.EndRegister(noted, context.now)
 
 
 @behave.when('it is told of the same {count:d} ends by {gateways:d} gateways')
--- a/features/support/crashes.py
+++ b/features/support/crashes.py
@@ -70,7 +70,7 @@
         self._load = load
         self._gateways = gateways
         self._random = random.Random(seed)
-        self._register = suspicion.Register({}, 0.0)
+        self._register = suspicion.EndRegister({}, 0.0)
         self._known: dict[str, suspicion.Suspect] = {}
         self._served: dict[str, float] = {}
         self._back = [0.0] * instances
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -44,7 +44,7 @@
         self._node = node
         self._alive = alive
         self._metrics = counters
-        self._register = suspicion.Register({}, 0.0)
+        self._register = suspicion.EndRegister({}, 0.0)
         self._number = 0
         self._shown: list[suspicion.Suspect] = []
         self._barred: frozenset[str] = frozenset()
@@ -69,7 +69,7 @@
     def begin(self) -> None:
         """Begin a leadership with what the log has."""
         noted = self._node.machine.suspects
-        self._register = suspicion.Register(noted, _now())
+        self._register = suspicion.EndRegister(noted, _now())
         self._is_unsaved = False
         self._show()
 
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -122,7 +122,7 @@
         )
 
 
-class Register:
+class EndRegister:
     """The requests under suspicion, as the leader knows them.
 
     :param noted: those that were written down before, with the instances
