--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -135,7 +135,9 @@
 
 @behave.then('only an operator may clear it')
 def step_operator(context):
-    assert _ask(context, 'g') == suspicion.Verdict(granted=False, barred=True)
+    assert _ask(context, 'g') == suspicion.PermitDecision(
+        granted=False, barred=True
+    )
     assert context.register.clear(_REQUEST)
     assert _ask(context, 'g').granted
 
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Verdict:
+class PermitDecision:
     """Whether a request may be sent now.
 
     :ivar back_s: if not, when it may come back, in seconds; ``None`` if
@@ -163,7 +163,7 @@
 
     def ask(
         self, request: str, holder: str, now: float, alive: Alive
-    ) -> Verdict:
+    ) -> PermitDecision:
         """Say whether a gateway may send a request now; one at a time may.
 
         :param holder: who asks; it gives back what it got
@@ -171,15 +171,15 @@
         """
         record = self._records.get(request)
         if record is None or len(record.ends) < WATCHED_ENDS:
-            return Verdict(granted=True)
+            return PermitDecision(granted=True)
         if record.until > now:
             left_s = record.until - now
             back_s = None if left_s == float('inf') else left_s
-            return Verdict(granted=False, back_s=back_s, barred=True)
+            return PermitDecision(granted=False, back_s=back_s, barred=True)
         if record.holder and alive(record.holder):
-            return Verdict(granted=False, back_s=_BUSY_S)
+            return PermitDecision(granted=False, back_s=_BUSY_S)
         record.holder = holder
-        return Verdict(granted=True)
+        return PermitDecision(granted=True)
 
     def give_back(self, request: str, holder: str) -> None:
         """Note that a gateway no longer runs a request."""
