--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -122,12 +122,12 @@
             events.PERMIT_GIVEN if verdict.granted else events.PERMIT_REFUSED,
             fingerprint=request,
             router=router.router,
-            back_s=verdict.back_s,
+            back_s=verdict.retry_after_s,
         )
         return pb.PermitAnswer(
             id=ask.id,
             granted=verdict.granted,
-            back_ms=_milliseconds(verdict.back_s or 0.0),
+            back_ms=_milliseconds(verdict.retry_after_s or 0.0),
             barred=verdict.barred,
         )
 
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -80,7 +80,7 @@
     """
 
     granted: bool
-    back_s: float | None = None
+    retry_after_s: float | None = None
     barred: bool = False
 
 
@@ -175,9 +175,11 @@
         if record.until > now:
             left_s = record.until - now
             back_s = None if left_s == float('inf') else left_s
-            return PermitDecision(granted=False, back_s=back_s, barred=True)
+            return PermitDecision(
+                granted=False, retry_after_s=back_s, barred=True
+            )
         if record.holder and alive(record.holder):
-            return PermitDecision(granted=False, back_s=_BUSY_S)
+            return PermitDecision(granted=False, retry_after_s=_BUSY_S)
         record.holder = holder
         return PermitDecision(granted=True)
 
