--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -182,7 +182,7 @@
         self, request: str, instance: str, at: float, router: str
     ) -> None:
         ends = self._register.note_end(request, instance, at)
-        if ends < suspicion.WATCHED_ENDS:
+        if ends < suspicion.PERMIT_MIN_ENDS:
             return  # one end takes all with it that ran there
         self._is_unsaved = True
         self._is_stale = True
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -174,7 +174,7 @@
         """
         # Unsettled, a copy would go to the next instance while nobody knows
         # whether this request ended the last one.
-        if exchange.runs >= suspicion.WATCHED_ENDS:
+        if exchange.runs >= suspicion.PERMIT_MIN_ENDS:
             await self._witness.settle(exchange.instance_id)
         async with self._suspects.let_in(
             exchange.fingerprint,
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -21,7 +21,7 @@
 import attrs
 
 # Ends under a request from which on it runs one at a time.
-WATCHED_ENDS = 2
+PERMIT_MIN_ENDS = 2
 # Ends under a request from which on it is refused. What operators tolerate.
 BARRED_ENDS = 3
 # From its latest end until a refused request is tried once more, in seconds:
@@ -170,7 +170,7 @@
         :param alive: tells whether a former holder may still be running it
         """
         record = self._records.get(request)
-        if record is None or len(record.ends) < WATCHED_ENDS:
+        if record is None or len(record.ends) < PERMIT_MIN_ENDS:
             return PermitDecision(granted=True)
         if record.until > now:
             left_s = record.until - now
@@ -199,7 +199,7 @@
                 until=record.until,
             )
             for request, record in self._records.items()
-            if len(record.ends) >= WATCHED_ENDS
+            if len(record.ends) >= PERMIT_MIN_ENDS
         ]
         found.sort(key=lambda one: one.since)
         return found[-_MOST_WATCHED:]
@@ -214,7 +214,7 @@
         if len(self._records) <= most:
             return
         for request, record in self._records.items():
-            if len(record.ends) < WATCHED_ENDS:
+            if len(record.ends) < PERMIT_MIN_ENDS:
                 del self._records[request]
                 return
         del self._records[next(iter(self._records))]
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -106,7 +106,7 @@
         lost: list[errors.HoneyportError] = []
         for name, patience_s in plan:
             started = False
-            if len(lost) >= suspicion.WATCHED_ENDS:
+            if len(lost) >= suspicion.PERMIT_MIN_ENDS:
                 await asyncio.sleep(_VERDICT_S)
             try:
                 attempt = attrs.evolve(call, patience_s=patience_s)
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -105,7 +105,7 @@
         """Return once a request may be sent, and if the leader let it in."""
         known = self._known.get(request)
         own = self._own.get(request, 0)
-        if known is None and own < suspicion.WATCHED_ENDS:
+        if known is None and own < suspicion.PERMIT_MIN_ENDS:
             return False
         try:
             if known is not None and known.is_barred(_now()):
