--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -190,7 +190,7 @@
             events.REQUEST_SUSPECTED,
             fingerprint=request,
             ends=ends,
-            barred=ends >= suspicion.BARRED_ENDS,
+            barred=ends >= suspicion.BAR_MIN_ENDS,
             instances=self._register.instances(request),
             router=router,
         )
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -23,7 +23,7 @@
 # Ends under a request from which on it runs one at a time.
 PERMIT_MIN_ENDS = 2
 # Ends under a request from which on it is refused. What operators tolerate.
-BARRED_ENDS = 3
+BAR_MIN_ENDS = 3
 # From its latest end until a refused request is tried once more, in seconds:
 # one instance lost in a minute, in ten, in an hour and three quarters, and
 # none after that until an operator clears it.
@@ -102,7 +102,7 @@
     @property
     def until(self) -> float:
         """When it may be tried again; in the past if it never was barred."""
-        trials = len(self.ends) - BARRED_ENDS
+        trials = len(self.ends) - BAR_MIN_ENDS
         if trials < 0:
             return float('-inf')
         if trials >= len(_PAUSES_S):
