--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -41,7 +41,7 @@
 def step_end_again(context, count, apart):
     for _ in range(count):
         context.now += apart
-        context.register.note_end(_REQUEST, 'i', context.now)
+        context.register.record_end(_REQUEST, 'i', context.now)
 
 
 @behave.when(
@@ -55,7 +55,7 @@
         for gateway in range(gateways):
             at = context.now + spread * gateway / gateways
             name = f'i-{context.count}'
-            context.register.note_end(_REQUEST, name, at)
+            context.register.record_end(_REQUEST, name, at)
 
 
 @behave.when('it is served')
@@ -84,7 +84,7 @@
         if _ask(context, 'g').granted:
             context.tried.append(second)
             context.register.give_back(_REQUEST, 'g')
-            context.register.note_end(_REQUEST, f't-{second}', context.now)
+            context.register.record_end(_REQUEST, f't-{second}', context.now)
 
 
 @behave.when('a new leader takes over what was written down')
@@ -99,13 +99,13 @@
     for number in range(1, count + 1):
         for _ in range(gateways):
             at = context.now - _APART_S * number
-            context.register.note_end(_REQUEST, f'i-{number}', at)
+            context.register.record_end(_REQUEST, f'i-{number}', at)
 
 
 @behave.when('{count:d} other requests are each under one end')
 def step_others(context, count):
     for number in range(count):
-        context.register.note_end(f'other-{number}', 'i-x', context.now)
+        context.register.record_end(f'other-{number}', 'i-x', context.now)
 
 
 @behave.then('from now on it is {state}')
@@ -189,7 +189,7 @@
     context.now += _APART_S
     context.count += 1
     name = f'i-{context.count}'
-    context.register.note_end(_REQUEST, name, context.now)
+    context.register.record_end(_REQUEST, name, context.now)
 
 
 def _ask(context, holder):
--- a/features/support/crashes.py
+++ b/features/support/crashes.py
@@ -207,7 +207,7 @@
         for run in under:
             if run.permit:
                 self._register.give_back(run.name, f'g-{run.gateway}')
-            self._register.note_end(run.name, instance, at)
+            self._register.record_end(run.name, instance, at)
         self._later(_TOLD_S, self._tell)
 
     def _tell(self) -> None:
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -181,7 +181,7 @@
     def _count(
         self, request: str, instance: str, at: float, router: str
     ) -> None:
-        ends = self._register.note_end(request, instance, at)
+        ends = self._register.record_end(request, instance, at)
         if ends < suspicion.PERMIT_MIN_ENDS:
             return  # one end takes all with it that ran there
         self._is_unsaved = True
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -144,7 +144,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def note_end(self, request: str, instance: str, at: float) -> int:
+    def record_end(self, request: str, instance: str, at: float) -> int:
         """Count an instance that ended under a request.
 
         :param at: when that was seen, as loop time
