--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -193,6 +193,6 @@
 
 
 def _ask(context, holder):
-    return context.register.ask(
+    return context.register.request_permit(
         _REQUEST, holder, context.now, lambda one: one not in context.gone
     )
--- a/features/support/crashes.py
+++ b/features/support/crashes.py
@@ -149,7 +149,7 @@
     def _is_let_in(self, known: suspicion.Suspect, gateway: int) -> bool:
         if known.is_barred(self._now):
             return False
-        return self._register.ask(
+        return self._register.request_permit(
             known.request, f'g-{gateway}', self._now, lambda _: True
         ).granted
 
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -115,7 +115,7 @@
     ) -> pb.PermitAnswer:
         """Say whether a gateway may run a request now."""
         request = ask.request.hex()
-        verdict = self._register.ask(
+        verdict = self._register.request_permit(
             request, _holder(router), _now(), self._is_alive
         )
         logs.emit(
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -161,7 +161,7 @@
         """Forget a request; return whether it was known."""
         return self._records.pop(request, None) is not None
 
-    def ask(
+    def request_permit(
         self, request: str, holder: str, now: float, alive: Alive
     ) -> PermitDecision:
         """Say whether a gateway may send a request now; one at a time may.
