--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -65,7 +65,7 @@
 
 @behave.when('that gateway gives it back')
 def step_give_back(context):
-    context.register.give_back(_REQUEST, context.holder)
+    context.register.release_permit(_REQUEST, context.holder)
 
 
 @behave.when('that gateway loses its lease')
@@ -83,7 +83,7 @@
         context.now = began + second
         if _ask(context, 'g').granted:
             context.tried.append(second)
-            context.register.give_back(_REQUEST, 'g')
+            context.register.release_permit(_REQUEST, 'g')
             context.register.record_end(_REQUEST, f't-{second}', context.now)
 
 
--- a/features/support/crashes.py
+++ b/features/support/crashes.py
@@ -206,7 +206,7 @@
     def _report(self, instance: str, at: float, under: list[_Run]) -> None:
         for run in under:
             if run.permit:
-                self._register.give_back(run.name, f'g-{run.gateway}')
+                self._register.release_permit(run.name, f'g-{run.gateway}')
             self._register.record_end(run.name, instance, at)
         self._later(_TOLD_S, self._tell)
 
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -87,7 +87,7 @@
             return pb.ControlItem(permit=self._answer(router, item.permit))
         elif kind == 'release':
             named = item.release.request.hex()
-            self._register.give_back(named, _holder(router))
+            self._register.release_permit(named, _holder(router))
         return None
 
     def _take_ends(self, router: pb.Member, ends: pb.Ends) -> None:
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -183,7 +183,7 @@
         record.holder = holder
         return PermitDecision(granted=True)
 
-    def give_back(self, request: str, holder: str) -> None:
+    def release_permit(self, request: str, holder: str) -> None:
         """Note that a gateway no longer runs a request."""
         record = self._records.get(request)
         if record is not None and record.holder == holder:
