--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -110,7 +110,7 @@
 
 @behave.then('from now on it is {state}')
 def step_state(context, state):
-    shown = [one.request for one in context.register.watched()]
+    shown = [one.request for one in context.register.suspects()]
     verdict = _ask(context, 'g')
     found = 'free'
     if _REQUEST in shown:
@@ -144,7 +144,7 @@
 
 @behave.then('{count:d} ends are counted')
 def step_counted(context, count):
-    [found] = context.register.watched()
+    [found] = context.register.suspects()
     assert found.ends == count, found
 
 
--- a/features/support/crashes.py
+++ b/features/support/crashes.py
@@ -212,7 +212,7 @@
 
     def _tell(self) -> None:
         """Have all gateways know what the leader knows."""
-        self._known = {one.request: one for one in self._register.watched()}
+        self._known = {one.request: one for one in self._register.suspects()}
         for name, known in list(self._known.items()):
             if suspicion.clears(self._served.get(name), known.since):
                 self._register.clear(name)
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -199,7 +199,7 @@
         """Give what gateways are told a new number if it changed."""
         now = _now()
         self._is_stale = False
-        shown = self._register.watched()
+        shown = self._register.suspects()
         until = {one.request: one.until for one in shown if one.is_barred(now)}
         self._due = min(until.values(), default=float('inf'))
         barred = frozenset(until)
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -189,7 +189,7 @@
         if record is not None and record.holder == holder:
             record.holder = ''
 
-    def watched(self) -> list[Suspect]:
+    def suspects(self) -> list[Suspect]:
         """Return what gateways are told of: requests under several ends."""
         found = [
             Suspect(
