--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -191,7 +191,7 @@
             fingerprint=request,
             ends=ends,
             barred=ends >= suspicion.BAR_MIN_ENDS,
-            instances=self._register.instances(request),
+            instances=self._register.ended_instances(request),
             router=router,
         )
 
@@ -212,7 +212,7 @@
     def _ended(self) -> dict[str, tuple[str, ...]]:
         """Return the instances that ended under each that is shown."""
         return {
-            one.request: self._register.instances(one.request)
+            one.request: self._register.ended_instances(one.request)
             for one in self._shown
         }
 
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -204,7 +204,7 @@
         found.sort(key=lambda one: one.since)
         return found[-_MOST_WATCHED:]
 
-    def instances(self, request: str) -> tuple[str, ...]:
+    def ended_instances(self, request: str) -> tuple[str, ...]:
         """Return the instances that ended under a request."""
         record = self._records.get(request)
         return tuple(name for name, _ in record.ends) if record else ()
