--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -160,7 +160,7 @@
             message.suspects.add(
                 request=bytes.fromhex(one.request),
                 ends=one.ends,
-                since_ms=max(0, int((now - one.since) * 1000)),
+                since_ms=max(0, int((now - one.first_end_at) * 1000)),
                 barred=one.is_barred(now),
                 back_ms=_milliseconds(one.until - now),
             )
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -62,7 +62,7 @@
 
     request: str
     ends: int
-    since: float
+    first_end_at: float
     until: float
 
     def is_barred(self, now: float) -> bool:
@@ -195,13 +195,13 @@
             Suspect(
                 request=request,
                 ends=len(record.ends),
-                since=record.since,
+                first_end_at=record.since,
                 until=record.until,
             )
             for request, record in self._records.items()
             if len(record.ends) >= PERMIT_MIN_ENDS
         ]
-        found.sort(key=lambda one: one.since)
+        found.sort(key=lambda one: one.first_end_at)
         return found[-_MOST_WATCHED:]
 
     def ended_instances(self, request: str) -> tuple[str, ...]:
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -167,7 +167,9 @@
             [
                 request
                 for request, known in self._known.items()
-                if suspicion.clears(self._served.get(request), known.since)
+                if suspicion.clears(
+                    self._served.get(request), known.first_end_at
+                )
             ]
         )
 
@@ -235,7 +237,7 @@
     return suspicion.Suspect(
         request=told.request.hex(),
         ends=told.ends,
-        since=now - told.since_ms / 1000,
+        first_end_at=now - told.since_ms / 1000,
         until=until,
     )
 
