--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -162,7 +162,7 @@
                 ends=one.ends,
                 since_ms=max(0, int((now - one.first_end_at) * 1000)),
                 barred=one.is_barred(now),
-                back_ms=_milliseconds(one.until - now),
+                back_ms=_milliseconds(one.barred_until - now),
             )
         return message
 
@@ -200,7 +200,11 @@
         now = _now()
         self._is_stale = False
         shown = self._register.suspects()
-        until = {one.request: one.until for one in shown if one.is_barred(now)}
+        until = {
+            one.request: one.barred_until
+            for one in shown
+            if one.is_barred(now)
+        }
         self._due = min(until.values(), default=float('inf'))
         barred = frozenset(until)
         if self._number and shown == self._shown and barred == self._barred:
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -63,11 +63,11 @@
     request: str
     ends: int
     first_end_at: float
-    until: float
+    barred_until: float
 
     def is_barred(self, now: float) -> bool:
         """Whether the request is refused now."""
-        return self.until > now
+        return self.barred_until > now
 
 
 @attrs.frozen(kw_only=True)
@@ -196,7 +196,7 @@
                 request=request,
                 ends=len(record.ends),
                 first_end_at=record.since,
-                until=record.until,
+                barred_until=record.until,
             )
             for request, record in self._records.items()
             if len(record.ends) >= PERMIT_MIN_ENDS
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -109,7 +109,7 @@
             return False
         try:
             if known is not None and known.is_barred(_now()):
-                raise _barred(known.until - _now())
+                raise _barred(known.barred_until - _now())
             await self._ask(request)
         except errors.HoneyportError as error:
             self._metrics.count('suspects_refused', code=error.code)
@@ -238,7 +238,7 @@
         request=told.request.hex(),
         ends=told.ends,
         first_end_at=now - told.since_ms / 1000,
-        until=until,
+        barred_until=until,
     )
 
 
