--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -203,7 +203,7 @@
         )
         if not parts:
             return placement.by_load(among.preferred, counts, self._domain)
-        choice = placement.by_prefix(parts, among, counts, self._domain)
+        choice = placement.choose_by_prefix(parts, among, counts, self._domain)
         return self._with_source(service, parts, choice, regions)
 
     def _usable(
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -81,7 +81,7 @@
     peers: Instances
 
 
-def by_prefix(
+def choose_by_prefix(
     parts: prefixes.Parts,
     among: Candidates,
     counts: stale.Counts,
