--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -202,7 +202,9 @@
             stay_s=self._stays.of(service),
         )
         if not parts:
-            return placement.by_load(among.preferred, counts, self._domain)
+            return placement.choose_by_load(
+                among.preferred, counts, self._domain
+            )
         choice = placement.choose_by_prefix(parts, among, counts, self._domain)
         return self._with_source(service, parts, choice, regions)
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -98,7 +98,7 @@
         choice = _under_bound(parts, found, counts, bound)
         if choice is not None:
             return choice
-    return by_load(among.preferred, counts, domain)
+    return choose_by_load(among.preferred, counts, domain)
 
 
 def _under_bound(
@@ -117,7 +117,9 @@
     return None
 
 
-def by_load(found: Instances, counts: stale.Counts, domain: str) -> Choice:
+def choose_by_load(
+    found: Instances, counts: stale.Counts, domain: str
+) -> Choice:
     """Return an instance that likely runs least.
 
     While nothing is known to run anywhere, one of our domain if there is one.
