--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -359,7 +359,7 @@
             return False  # it holds next to nothing yet
         listed = self._leaving_since.get(instance.id, now)
         said = self._wishes.leaving_since(instance.id)
-        return placement.may_be_copied(
+        return placement.can_be_copied_from(
             now - (listed if said is None else min(said, listed)),
             is_sound=self._health.is_sound(instance.id)
             and instance.id not in self._unreachable
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -137,7 +137,7 @@
     return Choice(by_id[chosen], -1, running, 0.0, len(found))
 
 
-def may_be_copied(leaving_s: float, *, is_sound: bool) -> bool:
+def can_be_copied_from(leaving_s: float, *, is_sound: bool) -> bool:
     """Whether an instance can be named as one to copy from.
 
     :param leaving_s: for how long we have known that it leaves; 0 if it does
