--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -394,7 +394,7 @@
             and self._may_be_copied(one)
             and self._is_allowed(one, regions)
         ]
-        source = placement.source(
+        source = placement.find_cache_source(
             parts, choice.instance, others, self._holders
         )
         return attrs.evolve(choice, source=source)
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -147,7 +147,7 @@
     return is_sound and leaving_s < _COPIED_WHILE_LEAVING_S
 
 
-def source(
+def find_cache_source(
     parts: prefixes.Parts,
     chosen: Instance,
     others: Instances,
