--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -26,8 +26,8 @@
 def step_moves(context):
     lost = context.places[0]
     for parts in context.prompts:
-        before = next(prefixes.order(parts, context.places))
-        after = next(prefixes.order(parts, context.places[1:]))
+        before = next(prefixes.rank_places(parts, context.places))
+        after = next(prefixes.rank_places(parts, context.places[1:]))
         assert after == before or before == lost, (before, after)
 
 
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -70,7 +70,7 @@
         number = 0
         while True:
             parts = choices.prompt(f'hot-{number}')
-            if next(prefixes.order(parts, self.instances)) in self.cold:
+            if next(prefixes.rank_places(parts, self.instances)) in self.cold:
                 return parts
             number += 1
 
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -37,7 +37,9 @@
 
     def ranked(self, rank):
         """Return the instance of a rank for a prompt of the subject."""
-        places = list(prefixes.order(choices.prompt('subject'), self.listed))
+        places = list(
+            prefixes.rank_places(choices.prompt('subject'), self.listed)
+        )
         return placement.Instance(
             id=places[rank],
             service=choices.SERVICE,
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -109,7 +109,7 @@
 ) -> Choice | None:
     """Return the first one that runs less than a bound, if any does."""
     by_place = {one.place: one for one in found if one.place}
-    for rank, place in enumerate(prefixes.order(parts, by_place)):
+    for rank, place in enumerate(prefixes.rank_places(parts, by_place)):
         instance = by_place[place]
         running = counts.known(instance.id)
         if running < bound:
@@ -181,5 +181,5 @@
     for one in others:
         if one.place and (one.leaving or one.place not in by_place):
             by_place[one.place] = one
-    best = next(prefixes.order(parts, by_place), None)
+    best = next(prefixes.rank_places(parts, by_place), None)
     return by_place[best] if best is not None else None
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -32,7 +32,7 @@
 Parts = collections.abc.Sequence[Part]
 
 
-def order(
+def rank_places(
     parts: Parts, places: collections.abc.Iterable[str]
 ) -> collections.abc.Iterator[str]:
     """Yield places, the one that suits a prompt best first.
