--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -276,7 +276,7 @@
         """Note that an instance answered a prompt with these parts."""
         self._health.succeeded(instance.id)
         self._wishes.answered(instance.id)
-        for part in prefixes.shared(parts):
+        for part in prefixes.shared_parts(parts):
             self._holders.add(part.id, instance.id)
 
     def failed(
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -162,7 +162,7 @@
 
     :param others: instances that may be copied, the chosen one left out
     """
-    shared = prefixes.shared(parts)
+    shared = prefixes.shared_parts(parts)
     if not shared or chosen.id in holders.holders_of(shared[-1].id):
         return None
     by_id = {one.id: one for one in others}
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -43,7 +43,7 @@
     return hashing.descend(deciding.id, places)
 
 
-def shared(parts: Parts) -> Parts:
+def shared_parts(parts: Parts) -> Parts:
     """Return the parts that other requests have, too."""
     return parts[:-1]
 
