--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -32,7 +32,7 @@
     return [name for _, name in heapq.nlargest(most, scored)]
 
 
-def descend(
+def iter_ranked(
     key: str, candidates: collections.abc.Iterable[str]
 ) -> collections.abc.Iterator[str]:
     """Yield all candidates for a key, the best one first.
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -40,7 +40,7 @@
     :param parts: not empty
     """
     deciding = parts[-2] if len(parts) > 1 else parts[-1]
-    return hashing.descend(deciding.id, places)
+    return hashing.iter_ranked(deciding.id, places)
 
 
 def shared_parts(parts: Parts) -> Parts:
