--- a/bench/pieces.py
+++ b/bench/pieces.py
@@ -43,7 +43,7 @@
 
     def regard_view() -> None:
         for engine in engines:
-            hashing.wins('router-3', engine, near)
+            hashing.is_top_ranked('router-3', engine, near)
 
     figures['regard_view_ms'] = _milliseconds(regard_view, 10)
     pool = engines[:_POOL]
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -175,7 +175,7 @@
     names = [f'router-{number}' for number in range(routers)]
     for number in range(engines):
         key = f'engine-{number}'
-        winners = [n for n in names if hashing.wins(n, key, names)]
+        winners = [n for n in names if hashing.is_top_ranked(n, key, names)]
         assert winners == hashing.rank(key, names, 1)
 
 
--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -48,7 +48,7 @@
         yield from (name for _, name in rest)
 
 
-def wins(
+def is_top_ranked(
     name: str, key: str, candidates: collections.abc.Iterable[str]
 ) -> bool:
     """Whether a candidate is the best one for a key.
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -217,7 +217,9 @@
         if name not in self._members:
             return False
         candidates = self._candidates(backend)
-        return name in candidates and hashing.wins(name, backend, candidates)
+        return name in candidates and hashing.is_top_ranked(
+            name, backend, candidates
+        )
 
     def others(self, service: str) -> int:
         """Return what surely runs or waits at all other routers.
