--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -159,7 +159,7 @@
     names = [f'engine-{number}' for number in range(engines)]
     loads = dict.fromkeys(names, 0)
     for total in range(count):
-        allowed = hashing.bound(multiple, total, engines)
+        allowed = hashing.max_load(multiple, total, engines)
         ranked = hashing.rank(f'chat-{total % 60}', names, engines)
         chosen = next(name for name in ranked if loads[name] < allowed)
         loads[chosen] += 1
--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -78,7 +78,7 @@
     ]
 
 
-def bound(multiple: float, total: int, count: int) -> int:
+def max_load(multiple: float, total: int, count: int) -> int:
     """Return the most load that one of ``count`` engines may carry.
 
     Consistent hashing with bounded loads (Mirrokni, Thorup and
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -345,7 +345,7 @@
         if pool.service.kind != model.ENGINE:
             return most
         count = len(self._state.usable(pool))
-        bounded = hashing.bound(
+        bounded = hashing.max_load(
             self._state.bundle.limits.bound, self._total(service), count
         )
         return min(most, bounded)
