--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -15,7 +15,7 @@
 _FIRST = 8
 
 
-def seed_of(candidate: str) -> int:
+def candidate_seed(candidate: str) -> int:
     """Return the hash seed of a candidate; the same everywhere."""
     found = _SEEDS.get(candidate)
     if found is None:
@@ -58,9 +58,9 @@
     """
     hashed = xxhash.xxh3_64_intdigest
     encoded = key.encode()
-    mine = (hashed(encoded, seed_of(name)), name)
+    mine = (hashed(encoded, candidate_seed(name)), name)
     return not any(
-        (hashed(encoded, seed_of(other)), other) > mine
+        (hashed(encoded, candidate_seed(other)), other) > mine
         for other in candidates
         if other != name
     )
@@ -73,7 +73,7 @@
     encoded = key.encode()
     seeds = _SEEDS
     return [
-        (hashed(encoded, seeds.get(name) or seed_of(name)), name)
+        (hashed(encoded, seeds.get(name) or candidate_seed(name)), name)
         for name in candidates
     ]
 
