--- a/src/honeyport/gateway/gate.py
+++ b/src/honeyport/gateway/gate.py
@@ -50,7 +50,9 @@
         if self._state.may_serve:
             return 0.0
         began = _now()
-        until = admission.wait_until(self._standing(), deadline, began)
+        until = admission.lease_wait_deadline(
+            self._standing(), deadline, began
+        )
         if until is not None:
             try:
                 async with asyncio.timeout_at(until):
--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -40,7 +40,9 @@
     has_served: bool
 
 
-def wait_until(standing: StartState, until: float, now: float) -> float | None:
+def lease_wait_deadline(
+    standing: StartState, until: float, now: float
+) -> float | None:
     """Return until when a request waits for the lease.
 
     :param until: when its caller leaves
