--- a/src/honeyport/gateway/gate.py
+++ b/src/honeyport/gateway/gate.py
@@ -37,7 +37,7 @@
         try:
             self._state.check_lease()
         except errors.NotReady as error:
-            back_s = admission.come_back_s(self._standing(), _now())
+            back_s = admission.retry_after_s(self._standing(), _now())
             raise errors.NotReady(error.detail, retry_after=back_s) from None
 
     async def enter(self, deadline: float) -> float:
--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -56,7 +56,7 @@
     return min(last, until - _SOON_S)
 
 
-def come_back_s(standing: StartState, now: float) -> float:
+def retry_after_s(standing: StartState, now: float) -> float:
     """Return when a refused caller may come back, in seconds."""
     if standing.has_served:
         return _ELSEWHERE_S
