--- a/features/support/crashes.py
+++ b/features/support/crashes.py
@@ -214,6 +214,8 @@
         """Have all gateways know what the leader knows."""
         self._known = {one.request: one for one in self._register.suspects()}
         for name, known in list(self._known.items()):
-            if suspicion.clears(self._served.get(name), known.first_end_at):
+            if suspicion.is_cleared(
+                self._served.get(name), known.first_end_at
+            ):
                 self._register.clear(name)
                 del self._known[name]
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -220,7 +220,7 @@
         del self._records[next(iter(self._records))]
 
 
-def clears(served: float | None, first_end: float) -> bool:
+def is_cleared(served: float | None, first_end: float) -> bool:
     """Whether a good answer shows that a request is harmless.
 
     :param served: when the latest one came, if any did
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -138,7 +138,7 @@
         end = _End(instance, _now(), requests)
         self._ends.append(end)
         for request in requests:
-            if not suspicion.clears(self._served.get(request), end.at):
+            if not suspicion.is_cleared(self._served.get(request), end.at):
                 self._own[request] = self._own.get(request, 0) + 1
                 self._own.move_to_end(request)
         while len(self._own) > _MOST_OWN:
@@ -167,7 +167,7 @@
             [
                 request
                 for request, known in self._known.items()
-                if suspicion.clears(
+                if suspicion.is_cleared(
                     self._served.get(request), known.first_end_at
                 )
             ]
