--- a/bench/rests.py
+++ b/bench/rests.py
@@ -19,7 +19,7 @@
 from honeyport.gateway import attempt
 from honeyport.gateway import balancer
 from honeyport.gateway import headers
-from honeyport.gateway import wishes
+from honeyport.gateway import instance_signals
 from honeyport.policy import prefixes
 from honeyport.policy import repeats
 from honeyport.telemetry import metrics
@@ -83,7 +83,9 @@
     """A gateway's choice, its wishes and its allowance."""
 
     def __init__(self, name: str, domain: str, gateways: int) -> None:
-        self.wishes = wishes.Wishes(headers.HeaderNames(), metrics.Metrics())
+        self.wishes = instance_signals.Wishes(
+            headers.HeaderNames(), metrics.Metrics()
+        )
         self.balancer = balancer.Balancer(name, domain, {}, self.wishes)
         self.budgets = repeats.RetryBudgets(
             repeats.Allowance(), lambda: gateways
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -9,7 +9,7 @@
 import behave
 
 from features.steps import gateway_steps
-from features.support import lines
+from features.support import log_capture
 from honeyport.wire import honeyport_pb2 as pb
 
 # For what is on the wire when an instance asks for rest.
@@ -81,7 +81,7 @@
     '{per_s:d} requests a second reach the gateway for {seconds:d} seconds'
 )
 def step_load(context, per_s, seconds):
-    with lines.taken() as context.lines:
+    with log_capture.taken() as context.lines:
         context.run(_load(context, per_s, seconds))
 
 
--- a/features/support/choices.py
+++ b/features/support/choices.py
@@ -2,7 +2,7 @@
 
 from honeyport.gateway import balancer
 from honeyport.gateway import headers
-from honeyport.gateway import wishes
+from honeyport.gateway import instance_signals
 from honeyport.policy import prefixes
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
@@ -12,7 +12,7 @@
 
 def make(name, domain, regions):
     """Return the choice of a gateway of which no instance asked anything."""
-    asked = wishes.Wishes(headers.HeaderNames(), metrics.Metrics())
+    asked = instance_signals.Wishes(headers.HeaderNames(), metrics.Metrics())
     return balancer.Balancer(name, domain, regions, asked)
 
 
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -13,8 +13,8 @@
 import attrs
 
 from honeyport import errors
-from honeyport.gateway import warmth
-from honeyport.gateway import wishes
+from honeyport.gateway import cold_start
+from honeyport.gateway import instance_signals
 from honeyport.policy import health
 from honeyport.policy import placement
 from honeyport.policy import prefixes
@@ -49,13 +49,13 @@
         name: str,
         domain: str,
         regions: collections.abc.Mapping[str, str],
-        asked: wishes.Wishes,
+        asked: instance_signals.Wishes,
     ) -> None:
         self._wishes = asked
         self._domain = domain
         self._regions = regions
         self._evacuated: Domains = frozenset()
-        self._warmth = warmth.Warmth(name)
+        self._warmth = cold_start.Warmth(name)
         self._number = 0
         self._services: dict[str, list[placement.Instance]] = {}
         self._running: collections.Counter[str] = collections.Counter()
@@ -72,7 +72,7 @@
         """Requests of this gateway in flight, by instance."""
         return self._running
 
-    def tolerate(self, tolerances: warmth.Tolerances) -> None:
+    def tolerate(self, tolerances: cold_start.Tolerances) -> None:
         """Take what cold instances tolerate, by service."""
         self._warmth.tolerate(tolerances)
 
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -9,11 +9,11 @@
 from honeyport import errors
 from honeyport.gateway import balancer
 from honeyport.gateway import forward
-from honeyport.gateway import gate
+from honeyport.gateway import lease_gate
 from honeyport.gateway import headers as gateway_headers
 from honeyport.gateway import pool
 from honeyport.gateway import server
-from honeyport.gateway import wishes
+from honeyport.gateway import instance_signals
 from honeyport.policy import addresses
 from honeyport.policy import cold
 from honeyport.policy import draining
@@ -49,14 +49,14 @@
         self._leaving = leaving
         self._metrics = counters
         self._state = fleetstate.FleetState()
-        self._wishes = wishes.Wishes(
+        self._wishes = instance_signals.Wishes(
             names, counters, lambda name: self._witness.leaves(name)
         )
         self._balancer = balancer.Balancer(
             settings.name, settings.domain, settings.regions, self._wishes
         )
         self._pool = pool.Pool()
-        self._gate = gate.Gate(self._state)
+        self._gate = lease_gate.Gate(self._state)
         self._suspects = suspects.Suspects(counters)
         self._witness = witness.Witness(self._pool.probe, self._on_end)
         self._forwarder = forward.Forwarder(
--- a/src/honeyport/gateway/exchanges.py
+++ b/src/honeyport/gateway/exchanges.py
@@ -11,7 +11,7 @@
 from honeyport.gateway import headers as gateway_headers
 from honeyport.gateway import routes
 from honeyport.gateway import sse
-from honeyport.gateway import watch
+from honeyport.gateway import silence_timeout
 from honeyport.policy import placement
 from honeyport.policy import prefixes
 
@@ -70,7 +70,7 @@
     runs: int = 0
     failure: attempt.Answer | None = None
     choice: placement.Choice | None = None
-    silence: watch.Watch | None = None
+    silence: silence_timeout.Watch | None = None
     waited_s: float = 0.0
     connect_s: float = 0.0
     first_s: float | None = None
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -13,13 +13,13 @@
 from honeyport.gateway import attempt
 from honeyport.gateway import balancer
 from honeyport.gateway import exchanges
-from honeyport.gateway import gate
+from honeyport.gateway import lease_gate
 from honeyport.gateway import headers as gateway_headers
-from honeyport.gateway import ledger
+from honeyport.gateway import request_log
 from honeyport.gateway import pool
 from honeyport.gateway import routes
-from honeyport.gateway import watch
-from honeyport.gateway import wishes
+from honeyport.gateway import silence_timeout
+from honeyport.gateway import instance_signals
 from honeyport.policy import fingerprints
 from honeyport.policy import placement
 from honeyport.policy import repeats
@@ -52,10 +52,10 @@
     def __init__(
         self,
         state: fleetstate.FleetState,
-        entrance: gate.Gate,
+        entrance: lease_gate.Gate,
         names: gateway_headers.HeaderNames,
         choice: balancer.Balancer,
-        asked: wishes.Wishes,
+        asked: instance_signals.Wishes,
         connections: pool.Pool,
         budgets: repeats.RetryBudgets,
         ends: witness.Witness,
@@ -73,7 +73,7 @@
         self._budgets = budgets
         self._witness = ends
         self._suspects = held
-        self._ledger = ledger.Ledger(state, counters)
+        self._ledger = request_log.Ledger(state, counters)
         self._running = 0
 
     @property
@@ -257,7 +257,7 @@
             lambda head: self._wishes.heed(connection.instance, head, began),
         )
         try:
-            async with watch.Watch(limits) as exchange.silence:
+            async with silence_timeout.Watch(limits) as exchange.silence:
                 return await sent.run(exchange.request, headers)
         except TimeoutError:
             raise errors.BackendSilent(f'it said nothing: {limits}') from None
