--- a/bench/rests.py
+++ b/bench/rests.py
@@ -83,7 +83,7 @@
     """A gateway's choice, its wishes and its allowance."""
 
     def __init__(self, name: str, domain: str, gateways: int) -> None:
-        self.wishes = instance_signals.Wishes(
+        self.wishes = instance_signals.InstanceSignals(
             headers.HeaderNames(), metrics.Metrics()
         )
         self.balancer = balancer.Balancer(name, domain, {}, self.wishes)
@@ -119,9 +119,9 @@
 
     async def run(self) -> None:
         """Play the load to its end."""
-        listed = choices.listed(self._domains)
+        listed = choices.instance_list(self._domains)
         for one in self._gateways:
-            one.balancer.regard(listed, {}, 0.0)
+            one.balancer.update(listed, {}, 0.0)
         while _now() < _PLAYED_S:
             await asyncio.sleep(_STEP_S)
             for number in range(len(self._gateways)):
@@ -162,9 +162,9 @@
         return prefixes.Part(subject, 6000), prefixes.Part(own, 500)
 
     async def _serve(self, gateway: _Gateway, chosen) -> None:
-        with gateway.balancer.hold(chosen):
+        with gateway.balancer.track(chosen):
             await asyncio.sleep(_RUNS_S)
-        gateway.balancer.succeeded(chosen, ())
+        gateway.balancer.record_success(chosen, ())
 
     def _reject(self, number: int, chosen) -> None:
         self.seen.rejections += 1
@@ -177,7 +177,7 @@
         head = attempt.Head(
             503, '', httputil.HTTPHeaders({'Retry-After': str(_REST_S)})
         )
-        self._gateways[number].wishes.heed(chosen, head, now)
+        self._gateways[number].wishes.observe(chosen, head, now)
         if self._way.told:
             loop = asyncio.get_running_loop()
             loop.call_later(_LAG_S, self._tell, chosen.id)
@@ -186,12 +186,12 @@
         """Have all gateways leave an instance alone while others are there."""
         loop = asyncio.get_running_loop()
         for one in self._gateways:
-            one.balancer.leave_alone(one.balancer._unreachable | {name})
+            one.balancer.set_unreachable(one.balancer._unreachable | {name})
         loop.call_later(_REST_S - _LAG_S, self._let_go, name)
 
     def _let_go(self, name: str) -> None:
         for one in self._gateways:
-            one.balancer.leave_alone(one.balancer._unreachable - {name})
+            one.balancer.set_unreachable(one.balancer._unreachable - {name})
 
 
 def main() -> None:
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -34,15 +34,15 @@
 @behave.then('no instance is over its bound though one subject is hot')
 def step_bound(context):
     async def place():
-        choice = choices.make('g-1', 'thu-duc', {})
+        choice = choices.make_balancer('g-1', 'thu-duc', {})
         listed = pb.Instances(number=1)
         for place in context.places:
             listed.instances.add(id=place, service='llm', place=place)
-        choice.regard(listed, {}, 0.0)
+        choice.update(listed, {}, 0.0)
         with contextlib.ExitStack() as held:
             for _ in range(200):
                 found = choice.choose('llm', context.prompts[0], ())
-                held.enter_context(choice.hold(found.instance))
+                held.enter_context(choice.track(found.instance))
             return dict(choice.running)
 
     running = context.run(place())
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -50,26 +50,28 @@
             await asyncio.sleep(drawn.expovariate(per_s))
             parts = prompt
             if drawn.random() >= hot_per_s / per_s:
-                parts = choices.prompt(f'subject-{drawn.randrange(500)}')
+                parts = choices.prompt_parts(f'subject-{drawn.randrange(500)}')
             self._send(drawn.choice(gateways), parts)
 
     def _gateway(self, name):
-        made = choices.make(name, 'thu-duc', {})
-        made.tolerate({choices.SERVICE: _TOLERANCE})
+        made = choices.make_balancer(name, 'thu-duc', {})
+        made.set_cold_limits({choices.SERVICE: _TOLERANCE})
         for members in (self.seen_lately.get(name), self.seen[name]):
             if members is not None:
-                made.meet(members)
-        listed = choices.listed(dict.fromkeys(self.instances, 'thu-duc'))
+                made.set_gateways(members)
+        listed = choices.instance_list(
+            dict.fromkeys(self.instances, 'thu-duc')
+        )
         for one in listed.instances:
             one.cold_ms = _COLD_MS if one.id in self.cold else 0
-        made.regard(listed, {}, asyncio.get_running_loop().time())
+        made.update(listed, {}, asyncio.get_running_loop().time())
         return made
 
     def _hot_prompt(self):
         """Return a prompt whose first choice is a cold instance."""
         number = 0
         while True:
-            parts = choices.prompt(f'hot-{number}')
+            parts = choices.prompt_parts(f'hot-{number}')
             if next(prefixes.rank_places(parts, self.instances)) in self.cold:
                 return parts
             number += 1
@@ -82,7 +84,7 @@
             return
         self.sent += 1
         loop = asyncio.get_running_loop()
-        held = choice.hold(chosen)
+        held = choice.track(chosen)
         held.__enter__()
         loop.call_later(_STAY_S, held.__exit__, None, None, None)
         if chosen.id in self.cold:
--- a/features/steps/domain_steps.py
+++ b/features/steps/domain_steps.py
@@ -21,15 +21,15 @@
         self.domains = domains
         self.regions = {}
         self.held = contextlib.ExitStack()
-        self.balancer = choices.make('g-1', domains[0], self.regions)
-        self.balancer.tolerate(
+        self.balancer = choices.make_balancer('g-1', domains[0], self.regions)
+        self.balancer.set_cold_limits(
             {
                 choices.SERVICE: cold.tolerance(
                     2.5, 2.0, multiple=1.5, extra=2.0
                 )
             }
         )
-        self.listed = choices.listed(
+        self.listed = choices.instance_list(
             {
                 f'{domain}-{number}': domain
                 for domain in domains
@@ -43,21 +43,21 @@
         return self.loop.run_until_complete(coroutine)
 
     async def _tell(self):
-        self.balancer.meet(['g-1', 'g-2'])
-        self.balancer.regard(self.listed, {}, 0.0)
+        self.balancer.set_gateways(['g-1', 'g-2'])
+        self.balancer.update(self.listed, {}, 0.0)
 
     async def evacuate(self, domains):
         """Tell the balancer which domains are evacuated."""
-        self.balancer.evacuate(frozenset(domains))
+        self.balancer.set_evacuated(frozenset(domains))
 
     async def send(self, count, regions=None, kinds=(True, False)):
         """Choose for many requests, each of which ends at once."""
         made = []
         for number in range(count):
             has_prompt = kinds[number % len(kinds)]
-            parts = choices.prompt(f's-{number}') if has_prompt else ()
+            parts = choices.prompt_parts(f's-{number}') if has_prompt else ()
             choice = self.balancer.choose(choices.SERVICE, parts, (), regions)
-            with self.balancer.hold(choice.instance):
+            with self.balancer.track(choice.instance):
                 made.append(choice)
         return made
 
@@ -65,12 +65,12 @@
         """Choose for requests that stay; return the load each met."""
         met = []
         for number in range(count):
-            parts = choices.prompt(f's-{number % subjects}')
+            parts = choices.prompt_parts(f's-{number % subjects}')
             choice = self.balancer.choose(choices.SERVICE, parts, ())
             running = self.balancer.running
             mean = running.total() / len(self.listed.instances)
             met.append((running[choice.instance.id], mean))
-            self.held.enter_context(self.balancer.hold(choice.instance))
+            self.held.enter_context(self.balancer.track(choice.instance))
         return met
 
 
--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -35,7 +35,7 @@
 
 @behave.given('a gateway that is about to start')
 def step_about(context):
-    context.setting = gateway_steps.Setting(['answer'])
+    context.setting = gateway_steps.GatewayFixture(['answer'])
 
 
 @behave.when('its socket is opened early, and a caller sends a request')
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -27,7 +27,7 @@
 _SOON_S = 0.5
 
 
-class Setting:
+class GatewayFixture:
     """One gateway, a few instances, and what a caller got."""
 
     def __init__(
@@ -136,12 +136,12 @@
                 place=one.name,
             )
         self.gateway.state.apply_instances(listed)
-        self.gateway.take_news()
+        self.gateway.apply_state()
 
 
 @behave.given('a gateway for {kind} requests whose instances {steps}')
 def step_gateway(context, kind, steps):
-    context.setting = Setting([one.strip() for one in steps.split(';')])
+    context.setting = GatewayFixture([one.strip() for one in steps.split(';')])
     context.run(context.setting.start(kind))
     context.to_stop.append(context.setting.stop)
 
@@ -152,14 +152,14 @@
 )
 def step_gateway_without(context, kind, steps):
     named = [one.strip() for one in steps.split(';')]
-    context.setting = Setting(named, extra=0.0)
+    context.setting = GatewayFixture(named, extra=0.0)
     context.run(context.setting.start(kind))
     context.to_stop.append(context.setting.stop)
 
 
 @behave.given('a gateway that has just started')
 def step_fresh_gateway(context):
-    context.setting = Setting(['answer'])
+    context.setting = GatewayFixture(['answer'])
     context.run(context.setting.begin())
     context.to_stop.append(context.setting.stop)
 
@@ -173,7 +173,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(later / 1000, context.setting.allow, 'idempotent')
         began = loop.time()
-        context.got = await ask(context.setting, limit_ms=limit)
+        context.got = await send_request(context.setting, limit_ms=limit)
         context.took_s = loop.time() - began
         await asyncio.sleep(max(0.0, later / 1000 - context.took_s))
 
@@ -185,7 +185,7 @@
     async def allow():
         context.setting.configure('idempotent')
         context.setting.renew(_LEASE_MS)
-        context.setting.gateway.take_news()
+        context.setting.gateway.apply_state()
 
     context.run(allow())
 
@@ -211,7 +211,7 @@
 
 @behave.when('a caller sends a request')
 def step_send(context):
-    context.got = context.run(ask(context.setting))
+    context.got = context.run(send_request(context.setting))
 
 
 @behave.when('a caller sends {count:d} requests on one connection')
@@ -221,12 +221,14 @@
 
 @behave.when('a caller sends a request with the key "{key}"')
 def step_send_key(context, key):
-    context.got = context.run(ask(context.setting, key=key))
+    context.got = context.run(send_request(context.setting, key=key))
 
 
 @behave.when('a caller asks for "{path}" on host "{host}"')
 def step_send_path(context, path, host):
-    context.got = context.run(ask(context.setting, path=path, host=host))
+    context.got = context.run(
+        send_request(context.setting, path=path, host=host)
+    )
 
 
 @behave.when('a caller leaves while its request runs')
@@ -349,13 +351,13 @@
 # -- the caller ----------------------------------------------------------
 
 
-async def ask(
-    setting: Setting,
+async def send_request(
+    setting: GatewayFixture,
     key: str = caller.KEY,
     path: str = '/r/x?a=1',
     host: str = caller.HOST,
     limit_ms: int = 5000,
-) -> caller.Got:
+) -> caller.Response:
     reader, writer = await asyncio.open_connection(
         *roles.split(setting.address)
     )
@@ -366,7 +368,9 @@
         writer.close()
 
 
-async def _ask_many(setting: Setting, count: int) -> list[caller.Got]:
+async def _ask_many(
+    setting: GatewayFixture, count: int
+) -> list[caller.Response]:
     reader, writer = await asyncio.open_connection(
         *roles.split(setting.address)
     )
@@ -380,7 +384,7 @@
     return found
 
 
-async def _leave(setting: Setting) -> None:
+async def _leave(setting: GatewayFixture) -> None:
     _, writer = await asyncio.open_connection(*roles.split(setting.address))
     writer.write(caller.request(caller.KEY, '/r/x', caller.HOST))
     async with asyncio.timeout(_SOON_S):
@@ -389,8 +393,8 @@
     writer.close()
 
 
-async def _not_ready(setting: Setting) -> str:
-    return setting.gateway.not_ready
+async def _not_ready(setting: GatewayFixture) -> str:
+    return setting.gateway.not_ready_reason
 
 
 @behave.then('the instance that turned one away got no other')
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -14,7 +14,7 @@
     """A balancer and the instances that it knows of."""
 
     def __init__(self, names):
-        self.balancer = choices.make('g-1', 'thu-duc', {})
+        self.balancer = choices.make_balancer('g-1', 'thu-duc', {})
         self.listed = {name: pb.Instance(place=name) for name in names}
         self.number = 0
         self.first = None
@@ -33,12 +33,12 @@
                 leaving=listed.leaving,
                 place=listed.place,
             )
-        self.balancer.regard(news, {}, 0.0)
+        self.balancer.update(news, {}, 0.0)
 
     def ranked(self, rank):
         """Return the instance of a rank for a prompt of the subject."""
         places = list(
-            prefixes.rank_places(choices.prompt('subject'), self.listed)
+            prefixes.rank_places(choices.prompt_parts('subject'), self.listed)
         )
         return placement.Instance(
             id=places[rank],
@@ -53,7 +53,7 @@
     def choose(self, subject='subject'):
         """Return the choice for a prompt of a subject."""
         return self.balancer.choose(
-            choices.SERVICE, choices.prompt(subject), ()
+            choices.SERVICE, choices.prompt_parts(subject), ()
         )
 
 
@@ -69,7 +69,9 @@
 @behave.when('the first choice of a prompt answers it')
 def step_answers(context):
     setting = context.setting
-    setting.balancer.succeeded(setting.first, choices.prompt('subject'))
+    setting.balancer.record_success(
+        setting.first, choices.prompt_parts('subject')
+    )
 
 
 @behave.when('the first choice of a prompt leaves')
@@ -106,7 +108,7 @@
 def step_fails(context):
     async def fail():
         setting = context.setting
-        setting.balancer.failed(setting.first, 'HP-3104')
+        setting.balancer.record_failure(setting.first, 'HP-3104')
 
     context.run(fail())
 
@@ -114,7 +116,7 @@
 @behave.when('the gateway starts anew')
 def step_start_anew(context):
     async def start():
-        context.setting.balancer = choices.make('g-1', 'thu-duc', {})
+        context.setting.balancer = choices.make_balancer('g-1', 'thu-duc', {})
         context.setting.tell()
 
     context.run(start())
@@ -129,7 +131,7 @@
 def step_second_fails(context):
     async def fail():
         setting = context.setting
-        setting.balancer.failed(setting.ranked(1), 'HP-3104')
+        setting.balancer.record_failure(setting.ranked(1), 'HP-3104')
 
     context.run(fail())
 
@@ -137,7 +139,9 @@
 @behave.when('the second choice of a prompt answers another one')
 def step_second_answers(context):
     setting = context.setting
-    setting.balancer.succeeded(setting.ranked(1), choices.prompt('another'))
+    setting.balancer.record_success(
+        setting.ranked(1), choices.prompt_parts('another')
+    )
 
 
 @behave.then('the next prompt of the subject goes there, and copies nothing')
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -106,7 +106,7 @@
             for number in range(instances)
         }
         self.gateways = [
-            choices.make(f'g-{number}', names[number % domains], {})
+            choices.make_balancer(f'g-{number}', names[number % domains], {})
             for number in range(gateways)
         ]
         self.heard = [
@@ -125,9 +125,9 @@
 
     async def start(self):
         """Tell all gateways which instances there are."""
-        listed = choices.listed(self.domains)
+        listed = choices.instance_list(self.domains)
         for one in self.heard:
-            one.regard(listed, {}, 0.0)
+            one.update(listed, {}, 0.0)
 
     async def play(self, seconds, per_s):
         """Play requests; return the share of offers to dark instances."""
@@ -150,7 +150,7 @@
         chosen = gateway.choose(choices.SERVICE, parts, ()).instance
         is_dark = chosen.domain == self.lost
         if is_dark:
-            gateway.failed(chosen, 'HP-3007', was_reached=False)
+            gateway.record_failure(chosen, 'HP-3007', was_reached=False)
         return is_dark
 
     def _tell(self, now):
@@ -164,7 +164,7 @@
         for at, former in self.offers:
             if at <= now - _LAG_S:
                 for one in self.heard:
-                    one.leave_alone(former)
+                    one.set_unreachable(former)
 
 
 @behave.given(
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -40,7 +40,7 @@
     'offers'
 )
 def step_gateway(context, count, extra):
-    context.setting = gateway_steps.Setting(
+    context.setting = gateway_steps.GatewayFixture(
         ['answer'], extra=extra * _ALL_TO_ONE, count=count
     )
     context.run(context.setting.start('idempotent'))
@@ -277,5 +277,5 @@
 
 async def _ask(context):
     at = time.monotonic()
-    got = await gateway_steps.ask(context.setting)
+    got = await gateway_steps.send_request(context.setting)
     return Got(at, time.monotonic() - at, got.status, got.body)
--- a/features/steps/stale_steps.py
+++ b/features/steps/stale_steps.py
@@ -19,18 +19,18 @@
 
 @behave.when('{rate:d} requests a second of {stay_s:g} seconds each come')
 def step_come(context, rate, stay_s):
-    context.load = gateways.Load(
+    context.load = gateways.Workload(
         gateways=context.gateways,
         instances=context.instances,
-        room=context.room,
+        slots=context.room,
         requests_per_s=rate,
-        stay_s=stay_s,
+        duration_s=stay_s,
     )
 
 
 @behave.then('at most {most:d} in 1000 offers are turned away')
 def step_most(context, most):
-    found = gateways.mean_refused(context.load)
+    found = gateways.mean_refused_share(context.load)
     assert found * 1000 <= most, found
 
 
@@ -38,7 +38,7 @@
     'with the least loaded instance by late counts at least {least:d} are'
 )
 def step_before(context, least):
-    found = gateways.mean_refused(context.load, gateways.least_loaded)
+    found = gateways.mean_refused_share(context.load, gateways.least_loaded)
     assert found * 1000 >= least, found
 
 
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define
-class Got:
+class Response:
     """What a caller got."""
 
     status: int
@@ -39,12 +39,12 @@
     ).encode()
 
 
-async def read(reader: asyncio.StreamReader) -> Got:
+async def read(reader: asyncio.StreamReader) -> Response:
     """Return what a caller gets."""
     head = (await reader.readuntil(b'\r\n\r\n')).decode()
     line, *rest = head.strip().split('\r\n')
     headers = dict(one.split(': ', 1) for one in rest)
-    got = Got(int(line.split()[1]), headers, b'', True)
+    got = Response(int(line.split()[1]), headers, b'', True)
     try:
         if 'Content-Length' in headers:
             length = int(headers['Content-Length'])
--- a/features/support/choices.py
+++ b/features/support/choices.py
@@ -10,13 +10,15 @@
 SERVICE = 'llm'
 
 
-def make(name, domain, regions):
+def make_balancer(name, domain, regions):
     """Return the choice of a gateway of which no instance asked anything."""
-    asked = instance_signals.Wishes(headers.HeaderNames(), metrics.Metrics())
+    asked = instance_signals.InstanceSignals(
+        headers.HeaderNames(), metrics.Metrics()
+    )
     return balancer.Balancer(name, domain, regions, asked)
 
 
-def prompt(subject):
+def prompt_parts(subject):
     """Return the parts of a prompt."""
     return (
         prefixes.Part('lead', 2500),
@@ -25,7 +27,7 @@
     )
 
 
-def listed(domains, number=1):
+def instance_list(domains, number=1):
     """Return a list of instances, each at a place of its own.
 
     :param domains: the failure domain of each instance, by name
--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -25,14 +25,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class Load:
+class Workload:
     """What comes, and who takes it."""
 
     gateways: int
     instances: int
-    room: int
+    slots: int
     requests_per_s: float
-    stay_s: float
+    duration_s: float
     length_s: float = 20.0
 
 
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        load: Load,
+        load: Workload,
         seed: int,
         choose: typing.Callable[[list[str], stale.Counts], str] = stale.choose,
     ) -> None:
@@ -104,7 +104,7 @@
         for _ in range(_OFFERS):
             name = self._choose(left, self._counts(gateway, now))
             self._offers += 1
-            if self._running[name] < self._load.room:
+            if self._running[name] < self._load.slots:
                 self._run(gateway, name, now)
                 return
             self._refused += 1
@@ -112,7 +112,7 @@
 
     def _run(self, gateway: int, name: str, now: float) -> None:
         drawn = self._random.lognormvariate(-(_SPREAD**2) / 2, _SPREAD)
-        stay_s = self._load.stay_s * drawn
+        stay_s = self._load.duration_s * drawn
         self._running[name] += 1
         self._own[gateway][name] += 1
 
@@ -142,7 +142,9 @@
     return min(names, key=known)
 
 
-def mean_refused(load: Load, choose: typing.Any = stale.choose) -> float:
+def mean_refused_share(
+    load: Workload, choose: typing.Any = stale.choose
+) -> float:
     """Return the mean share of three seeds."""
     return statistics.fmean(
         Replay(load, seed, choose).refused_share() for seed in (1, 2, 3)
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -49,7 +49,7 @@
         name: str,
         domain: str,
         regions: collections.abc.Mapping[str, str],
-        asked: instance_signals.Wishes,
+        asked: instance_signals.InstanceSignals,
     ) -> None:
         self._wishes = asked
         self._domain = domain
@@ -72,11 +72,11 @@
         """Requests of this gateway in flight, by instance."""
         return self._running
 
-    def tolerate(self, tolerances: cold_start.Tolerances) -> None:
+    def set_cold_limits(self, tolerances: cold_start.Tolerances) -> None:
         """Take what cold instances tolerate, by service."""
         self._warmth.tolerate(tolerances)
 
-    def evacuate(self, domains: Domains) -> None:
+    def set_evacuated(self, domains: Domains) -> None:
         """Take the failure domains whose instances get nothing new.
 
         The instances of one that is taken back may have turned cold.
@@ -90,7 +90,7 @@
                 if one.domain in ended:
                     self._warmth.turn_cold(one)
 
-    def meet(self, gateways: collections.abc.Collection[str]) -> None:
+    def set_gateways(self, gateways: collections.abc.Collection[str]) -> None:
         """Take the names of the gateways that callers are sent to."""
         self._warmth.meet(gateways)
 
@@ -99,11 +99,11 @@
         """The instances that this gateway could not connect to lately."""
         return self._health.unreachable(_now())
 
-    def leave_alone(self, unreachable: collections.abc.Set[str]) -> None:
+    def set_unreachable(self, unreachable: collections.abc.Set[str]) -> None:
         """Take the instances that several gateways cannot reach."""
         self._unreachable = unreachable
 
-    def regard(
+    def update(
         self,
         instances: pb.Instances,
         others: collections.abc.Mapping[str, int],
@@ -254,7 +254,7 @@
         return dict(found)
 
     @contextlib.contextmanager
-    def hold(
+    def track(
         self, instance: placement.Instance
     ) -> collections.abc.Iterator[None]:
         """Count a request while it runs on an instance."""
@@ -270,7 +270,7 @@
             if not self._running[instance.id]:
                 del self._running[instance.id]
 
-    def succeeded(
+    def record_success(
         self, instance: placement.Instance, parts: prefixes.Parts
     ) -> None:
         """Note that an instance answered a prompt with these parts."""
@@ -279,7 +279,7 @@
         for part in prefixes.shared_parts(parts):
             self._holders.add(part.id, instance.id)
 
-    def failed(
+    def record_failure(
         self,
         instance: placement.Instance,
         reason: str,
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -9,11 +9,11 @@
 from honeyport import errors
 from honeyport.gateway import balancer
 from honeyport.gateway import forward
-from honeyport.gateway import lease_gate
 from honeyport.gateway import headers as gateway_headers
+from honeyport.gateway import instance_signals
+from honeyport.gateway import lease_gate
 from honeyport.gateway import pool
 from honeyport.gateway import server
-from honeyport.gateway import instance_signals
 from honeyport.policy import addresses
 from honeyport.policy import cold
 from honeyport.policy import draining
@@ -49,7 +49,7 @@
         self._leaving = leaving
         self._metrics = counters
         self._state = fleetstate.FleetState()
-        self._wishes = instance_signals.Wishes(
+        self._wishes = instance_signals.InstanceSignals(
             names, counters, lambda name: self._witness.leaves(name)
         )
         self._balancer = balancer.Balancer(
@@ -77,7 +77,7 @@
             self._state,
             self._fill,
             None,
-            self.take_news,
+            self.apply_state,
             self._suspects,
             counters,
         )
@@ -96,7 +96,7 @@
         return self._session.leader
 
     @property
-    def not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why callers should go elsewhere, or ``''``."""
         if self._entry.closing:
             return 'leaving'
@@ -125,7 +125,7 @@
             ]
         return addresses.choose(found, domain, self._settings.regions)
 
-    def seek(self, control: tuple[str, ...]) -> None:
+    def set_control_addresses(self, control: tuple[str, ...]) -> None:
         """Look for control at other addresses from now on."""
         self._session.seek(control)
 
@@ -181,7 +181,7 @@
         report.down.extend(self._balancer.unreachable)
         report.resting.extend(self._wishes.resting[:_MOST_TOLD])
 
-    def take_news(self) -> None:
+    def apply_state(self) -> None:
         """Bring choice, connections and limits in line with the state."""
         self._gate.take_news()
         now = asyncio.get_running_loop().time()
@@ -190,10 +190,12 @@
         if self._state.version != self._version:
             self._version = self._state.version
             self._take_configuration(self._state.bundle)
-        self._balancer.evacuate(self._state.evacuated)
-        self._balancer.meet([one.router for one in self._state.present])
-        self._balancer.leave_alone(self._state.unreachable)
-        usable = self._balancer.regard(
+        self._balancer.set_evacuated(self._state.evacuated)
+        self._balancer.set_gateways(
+            [one.router for one in self._state.present]
+        )
+        self._balancer.set_unreachable(self._state.unreachable)
+        usable = self._balancer.update(
             self._state.instances,
             self._state.residuals,
             now - self._state.loads_age_s,
@@ -205,7 +207,7 @@
     def _take_configuration(self, bundle: model.Bundle) -> None:
         """Take the limits of a new configuration."""
         self._entry.limit(bundle.requests)
-        self._balancer.tolerate(
+        self._balancer.set_cold_limits(
             {
                 name: cold.tolerance(
                     service.cold_s,
--- a/src/honeyport/gateway/exchanges.py
+++ b/src/honeyport/gateway/exchanges.py
@@ -10,8 +10,8 @@
 from honeyport.gateway import attempt
 from honeyport.gateway import headers as gateway_headers
 from honeyport.gateway import routes
-from honeyport.gateway import sse
 from honeyport.gateway import silence_timeout
+from honeyport.gateway import sse
 from honeyport.policy import placement
 from honeyport.policy import prefixes
 
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -13,13 +13,13 @@
 from honeyport.gateway import attempt
 from honeyport.gateway import balancer
 from honeyport.gateway import exchanges
-from honeyport.gateway import lease_gate
 from honeyport.gateway import headers as gateway_headers
-from honeyport.gateway import request_log
+from honeyport.gateway import instance_signals
+from honeyport.gateway import lease_gate
 from honeyport.gateway import pool
+from honeyport.gateway import request_log
 from honeyport.gateway import routes
 from honeyport.gateway import silence_timeout
-from honeyport.gateway import instance_signals
 from honeyport.policy import fingerprints
 from honeyport.policy import placement
 from honeyport.policy import repeats
@@ -55,7 +55,7 @@
         entrance: lease_gate.Gate,
         names: gateway_headers.HeaderNames,
         choice: balancer.Balancer,
-        asked: instance_signals.Wishes,
+        asked: instance_signals.InstanceSignals,
         connections: pool.Pool,
         budgets: repeats.RetryBudgets,
         ends: witness.Witness,
@@ -200,13 +200,13 @@
             exchange.match.regions,
         )
         instance = exchange.choice.instance
-        with self._balancer.hold(instance):
+        with self._balancer.track(instance):
             try:
                 answer = await self._send(exchange, instance)
             except errors.HoneyportError as error:
                 self._judge(exchange, instance, error)
                 raise
-        self._balancer.succeeded(instance, exchange.parts)
+        self._balancer.record_success(instance, exchange.parts)
         if answer.head.is_success:
             self._suspects.served(exchange.fingerprint)
         await self._finish(exchange, answer)
@@ -254,7 +254,9 @@
             connection,
             self._names,
             exchange,
-            lambda head: self._wishes.heed(connection.instance, head, began),
+            lambda head: self._wishes.observe(
+                connection.instance, head, began
+            ),
         )
         try:
             async with silence_timeout.Watch(limits) as exchange.silence:
@@ -318,7 +320,7 @@
         # the allowance of offers.
         is_gone = isinstance(error, (errors.NotSent, errors.Misdirected))
         if is_gone or isinstance(error, errors.BackendLost):
-            self._balancer.failed(
+            self._balancer.record_failure(
                 instance, error.code, was_reached=not is_gone
             )
 
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -32,7 +32,7 @@
 OnLeave = collections.abc.Callable[[str], None]
 
 
-class Wishes:
+class InstanceSignals:
     """What the instances have asked of this gateway.
 
     Of rests all others are told, who leave these instances alone while others
@@ -60,7 +60,7 @@
         """The instances that asked this gateway for rest, not over yet."""
         return self._rests.resting(_now()) if self._rests else []
 
-    def heed(
+    def observe(
         self, instance: placement.Instance, head: attempt.Head, sent: float
     ) -> None:
         """Take what the head of an instance's answer says of itself.
--- a/src/honeyport/platform/node.py
+++ b/src/honeyport/platform/node.py
@@ -123,7 +123,7 @@
         ]
         self._boot = fresh
         if self._gateway is not None:
-            self._gateway.seek(fresh.control)
+            self._gateway.set_control_addresses(fresh.control)
         logs.emit(events.RELOADED, changed=changed, control=fresh.control)
 
     async def _watch_settings(self) -> None:
--- a/src/honeyport/platform/pages.py
+++ b/src/honeyport/platform/pages.py
@@ -76,7 +76,7 @@
 
 @page('GET', '/api/readiness')
 async def _ready(parts: Parts, request: httputil.HTTPServerRequest) -> Reply:
-    reason = parts.gateway.not_ready
+    reason = parts.gateway.not_ready_reason
     return Reply(status=503 if reason else 200, body=reason.encode())
 
 
