--- a/src/honeyport/control/operators.py
+++ b/src/honeyport/control/operators.py
@@ -190,7 +190,7 @@
                 silent_s=now - router.heard,
                 loads=router.loads.values(),
             )
-        matched = self._node.matched()
+        matched = self._node.match_indexes()
         for member in self._node.members.replicas:
             answer.replicas.add(
                 replica=member,
--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -151,7 +151,7 @@
         """Return for how long a peer has not answered; 0 if not leading."""
         return self._leadership.silent_s(name) if self._leadership else 0.0
 
-    def matched(self) -> dict[str, int]:
+    def match_indexes(self) -> dict[str, int]:
         """Return how far each peer's log is known to match."""
         return self._leadership.matched() if self._leadership else {}
 
