--- a/features/support/leading.py
+++ b/features/support/leading.py
@@ -17,7 +17,7 @@
 
     role = replica.LEADER
     term = 1
-    led_since = -100.0
+    leader_since = -100.0
 
     def __init__(self, entries: int = 1) -> None:
         self.machine = machine.Machine()
--- a/src/honeyport/control/news.py
+++ b/src/honeyport/control/news.py
@@ -106,7 +106,7 @@
         self._versions.keep(self._accepted)
         self._look_for_routers(now)
         # Before, it would name too few of the routers.
-        is_named = now >= self._node.led_since + _REATTACH_S
+        is_named = now >= self._node.leader_since + _REATTACH_S
         found = Told(
             view=self._fleet.view.number if self._fleet.has_view else 0,
             presence=self._presences.number if is_named else 0,
--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -94,7 +94,7 @@
         return self._role
 
     @property
-    def led_since(self) -> float:
+    def leader_since(self) -> float:
         """The loop time at which this replica became leader."""
         return self._leadership.since if self._leadership else 0.0
 
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -203,7 +203,7 @@
 
     def _begin(self) -> None:
         self._term = self._node.term
-        stable_at = self._node.led_since + self._lease_s()
+        stable_at = self._node.leader_since + self._lease_s()
         self._fleet = fleet.Fleet(self._term, stable_at, self._lists)
         self._suspects.begin()
         self._news = self._make_news()
