--- a/src/honeyport/control/operators.py
+++ b/src/honeyport/control/operators.py
@@ -48,7 +48,7 @@
         self, request: pb.ChangeRequest, context: grpc.aio.ServicerContext
     ) -> pb.SubmitAnswer:
         try:
-            await self._node.change(request.name, request.address)
+            await self._node.change_membership(request.name, request.address)
             return pb.SubmitAnswer()
         except errors.HoneyportError as error:
             return pb.SubmitAnswer(
--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -186,7 +186,7 @@
             raise errors.NotLeader(leader=self.leader_address)
         return await self._leadership.propose(command)
 
-    async def change(self, name: str, address: str) -> None:
+    async def change_membership(self, name: str, address: str) -> None:
         """Add a replica as a learner, or remove it if no address is given.
 
         :raises errors.UsageInvalid: if the change makes no sense now
--- a/src/honeyport/control/succession.py
+++ b/src/honeyport/control/succession.py
@@ -88,9 +88,9 @@
     async def _add(self, name: str, gone: list[pb.Replicant]) -> None:
         names = [one.name for one in gone]
         logs.emit(events.MEMBER_ADDED, replica=name, gone=names)
-        await self._node.change(name, name)
+        await self._node.change_membership(name, name)
 
     async def _remove(self, gone: pb.Replicant) -> None:
         silent_s = round(self._node.silent_s(gone.name), 1)
         logs.emit(events.MEMBER_REMOVED, replica=gone.name, silent_s=silent_s)
-        await self._node.change(gone.name, '')
+        await self._node.change_membership(gone.name, '')
