--- a/bench/leader.py
+++ b/bench/leader.py
@@ -31,7 +31,9 @@
 
 async def _second_ms(count: int) -> float:
     """Return the processor milliseconds that a second takes."""
-    streams = sessions.Sessions(leading.Node(_ENTRIES), metrics.Metrics())
+    streams = sessions.Sessions(
+        leading.LeaderStub(_ENTRIES), metrics.Metrics()
+    )
     streams._watch_leadership()
     opened = [streams._open(leading.hello(number)) for number in range(count)]
     await asyncio.sleep(0)
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -75,7 +75,7 @@
 
     def __init__(self, term=1):
         self.loop = simulation.VirtualLoop()
-        self.node = leading.Node()
+        self.node = leading.LeaderStub()
         self.node.term = term
         self.lists = listings.Listings()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -32,7 +32,7 @@
     """A leader and streams to it, without a network."""
 
     def __init__(self, count):
-        self.node = leading.Node()
+        self.node = leading.LeaderStub()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
         self.streams._watch_leadership()
         self.opened = []
--- a/features/support/leading.py
+++ b/features/support/leading.py
@@ -9,7 +9,7 @@
 _REPLICAS = 5
 
 
-class Node:
+class LeaderStub:
     """Leads from the first moment on, with a log of some length.
 
     :param entries: how many the log has; the members are in the first one
