--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -66,7 +66,9 @@
             self._balancer,
             self._wishes,
             self._pool,
-            repeats.RetryBudgets(allowance, lambda: len(self._state.present)),
+            repeats.RetryBudgets(
+                allowance, lambda: len(self._state.serving_routers)
+            ),
             self._witness,
             self._suspects,
             counters,
@@ -116,7 +118,7 @@
 
     def addresses(self, domain: str) -> list[str]:
         """Return where a caller from a failure domain may connect."""
-        found = self._state.present
+        found = self._state.serving_routers
         if addresses.is_out_of_touch(self._state.silence_s):
             found = [
                 member
@@ -192,7 +194,7 @@
             self._take_configuration(self._state.bundle)
         self._balancer.set_evacuated(self._state.evacuated)
         self._balancer.set_gateways(
-            [one.router for one in self._state.present]
+            [one.router for one in self._state.serving_routers]
         )
         self._balancer.set_unreachable(self._state.unreachable)
         usable = self._balancer.update(
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -371,7 +371,7 @@
                 request=exchange.request.request_id,
                 service=exchange.service,
                 offers=exchange.offers,
-                gateways=len(self._state.present),
+                gateways=len(self._state.serving_routers),
             )
             self._metrics.count('allowance_spent', service=exchange.service)
         return allowed
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -106,7 +106,7 @@
         return {member.peer_address for member in self._view.members}
 
     @property
-    def present(self) -> list[pb.Member]:
+    def serving_routers(self) -> list[pb.Member]:
         """The routers that callers may be sent to."""
         return self._present
 
