--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -187,7 +187,7 @@
         """Bring choice, connections and limits in line with the state."""
         self._gate.take_news()
         now = asyncio.get_running_loop().time()
-        self._lifetime.note(self._state.departing, now)
+        self._lifetime.note(self._state.draining_routers, now)
         # Before the list: it is read with the services' tolerances.
         if self._state.version != self._version:
             self._version = self._state.version
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -111,7 +111,7 @@
         return self._present
 
     @property
-    def departing(self) -> list[str]:
+    def draining_routers(self) -> list[str]:
         """The names of the routers that leave in an orderly way."""
         return self._departing
 
