--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -141,7 +141,7 @@
         return self._lease_until - asyncio.get_running_loop().time()
 
     @property
-    def silence_s(self) -> float:
+    def control_silence_s(self) -> float:
         """Seconds since the report that control answered last."""
         return asyncio.get_running_loop().time() - self._heard_as_of
 
@@ -151,7 +151,7 @@
 
         They were reported within a period before control answered us.
         """
-        return self.silence_s + self.timing.report_ms / 1000 / 2
+        return self.control_silence_s + self.timing.report_ms / 1000 / 2
 
     @property
     def timing(self) -> model.Timing:
