--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -199,7 +199,7 @@
         self._balancer.set_unreachable(self._state.unreachable)
         usable = self._balancer.update(
             self._state.instances,
-            self._state.residuals,
+            self._state.running_elsewhere,
             now - self._state.loads_age_s,
         )
         if usable is not None:
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -234,7 +234,7 @@
         return self._others.surely(service)
 
     @property
-    def residuals(self) -> dict[str, int]:
+    def running_elsewhere(self) -> dict[str, int]:
         """What other routers have running, by backend server."""
         return self._others.by_backend
 
