--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -80,7 +80,7 @@
 
     def renew(self, lease_ms: int) -> None:
         now = asyncio.get_running_loop().time()
-        self.gateway.state.renew(now, lease_ms)
+        self.gateway.state.renew_lease(now, lease_ms)
 
     def configure(
         self, kind: str, keys: tuple[str, ...] = (caller.KEY,)
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -32,7 +32,7 @@
         view.members.add(router='r1', domain='thu-duc')
         state.apply_view(view)
         loop = asyncio.get_running_loop()
-        state.renew(loop.time(), 60_000)
+        state.renew_lease(loop.time(), 60_000)
         made = steward.Steward(
             'r1',
             state,
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -339,7 +339,7 @@
             logs.emit(events.EVACUATIONS_APPLIED, domains=sorted(found))
         self._evacuated = found
 
-    def renew(self, sent: float, lease_ms: int) -> None:
+    def renew_lease(self, sent: float, lease_ms: int) -> None:
         """Take a lease that counts from the sending of the report.
 
         The leader's loads are as of then, too: it sends them with the
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -283,7 +283,7 @@
         sent = self._sent.pop(answer.number, None)
         if sent is not None:
             self._stamp = answer.stamp
-            self._state.renew(sent, answer.lease_ms)
+            self._state.renew_lease(sent, answer.lease_ms)
 
     def _take_view(self, view: pb.View) -> None:
         """Apply a view and acknowledge it at once.
