--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -74,7 +74,7 @@
         ]
         for name, message in zip(_ROUTERS, self.messages, strict=True):
             assert self.sessions[name].counted == self.number
-            self.states[name].apply_own(reports[name])
+            self.states[name].apply_own_report(reports[name])
             self.states[name].apply_loads(message)
             self.has[name] = message.number
 
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -312,7 +312,7 @@
         self._down = frozenset(loads.down)
         self._leaving = frozenset(loads.leaving)
 
-    def apply_own(self, report: pb.Report) -> None:
+    def apply_own_report(self, report: pb.Report) -> None:
         """Take the report of ours that the loads of all contain."""
         self._others.take_own(report)
 
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -220,7 +220,7 @@
         self._outbox = box
         self._sent.clear()
         self._reported.clear()
-        self._state.apply_own(pb.Report())
+        self._state.apply_own_report(pb.Report())
         self._stamp = 0
         self._gap = True
         for item in self._suspects.greeting():
@@ -277,7 +277,7 @@
 
     def _take_answer(self, answer: pb.ReportAnswer) -> None:
         if answer.counted in self._reported:
-            self._state.apply_own(self._reported[answer.counted])
+            self._state.apply_own_report(self._reported[answer.counted])
             for number in [n for n in self._reported if n < answer.counted]:
                 del self._reported[number]
         sent = self._sent.pop(answer.number, None)
