--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -129,7 +129,7 @@
 
     def set_control_addresses(self, control: tuple[str, ...]) -> None:
         """Look for control at other addresses from now on."""
-        self._session.seek(control)
+        self._session.set_control_addresses(control)
 
     def register(self, server: grpc.aio.Server) -> None:
         """Let the server of the replica beside us take a leader's call."""
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -107,7 +107,7 @@
         """The address that the stream leads to, or ``''``."""
         return self._attached_to if self.attached else ''
 
-    def seek(self, control: tuple[str, ...]) -> None:
+    def set_control_addresses(self, control: tuple[str, ...]) -> None:
         """Look for the leader at other addresses, too; the stream stays."""
         self._contacts.use_settings(control)
 
