--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -163,7 +163,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         self._entry.leave()
-        self._session.leave()
+        self._session.announce_leaving()
         await asyncio.sleep(self._leaving.refuse_s)
         self._entry.refuse()
         while loop.time() - began < self._leaving.stop_s:
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -125,7 +125,7 @@
     async def _drain(self) -> None:
         """Leave: no new work, finish what runs, hand engines over."""
         self._gate.shut()
-        self._session.leave()
+        self._session.announce_leaving()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._settings.drain_s):
                 await self._gate.wait_idle()
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -133,7 +133,7 @@
         """Send the next report at once."""
         self._news.set()
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Say in all further reports that this router is leaving."""
         self._leaving = True
         self.hurry()
