--- a/bench/subscribers.py
+++ b/bench/subscribers.py
@@ -51,7 +51,7 @@
                     _fill,
                     _ignore,
                     _idle,
-                    suspects.Suspects(self.counters),
+                    suspects.SuspectTracker(self.counters),
                     self.counters,
                 )
             )
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -38,7 +38,7 @@
             state,
             metrics.Metrics(),
             lambda: None,
-            suspects.Suspects(metrics.Metrics()),
+            suspects.SuspectTracker(metrics.Metrics()),
         )
         made.regard_bundle()
         return made
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -59,7 +59,7 @@
         connections: pool.Pool,
         budgets: repeats.RetryBudgets,
         ends: witness.Witness,
-        held: suspects.Suspects,
+        held: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
         self._state = state
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -47,7 +47,7 @@
         self._links = relay.Links()
         self._gate = edge.Gate()
         self._tracer = traces.create(settings.traces, settings.name)
-        self._suspects = suspects.Suspects(self._counters)
+        self._suspects = suspects.SuspectTracker(self._counters)
         self._steward = steward.Steward(
             settings.name,
             self._state,
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -65,7 +65,7 @@
         fill: Fill,
         on_view: OnView | None,
         on_news: OnNews,
-        held: suspects.Suspects,
+        held: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
         self._settings = settings
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -49,7 +49,7 @@
         state: fleetstate.FleetState,
         counters: metrics.Metrics,
         hurry: Wake,
-        held: suspects.Suspects,
+        held: suspects.SuspectTracker,
     ) -> None:
         self._name = name
         self._state = state
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -49,7 +49,7 @@
     requests: frozenset[str]
 
 
-class Suspects:
+class SuspectTracker:
     """The requests that this router holds back, and why."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
