--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -176,7 +176,7 @@
         # whether this request ended the last one.
         if exchange.runs >= suspicion.PERMIT_MIN_ENDS:
             await self._witness.settle(exchange.instance_id)
-        async with self._suspects.let_in(
+        async with self._suspects.admit(
             exchange.fingerprint,
             lambda call: self._witness.when_settled(
                 exchange.instance_id, call
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -141,7 +141,7 @@
         )
         # A call that ends its backend server would end one server after
         # another, also where each copy comes under another id.
-        async with self._suspects.let_in(
+        async with self._suspects.admit(
             request, lambda call: self._witness.when_settled(backend, call)
         ):
             frames = self._run(call, backend, request)
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -84,7 +84,7 @@
     # -- what whoever serves requests asks -------------------------------
 
     @contextlib.asynccontextmanager
-    async def let_in(
+    async def admit(
         self, request: str, when_over: WhenOver
     ) -> collections.abc.AsyncIterator[None]:
         """Let a request run, alone in the fleet if it is under suspicion.
