--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -208,7 +208,7 @@
                 raise
         self._balancer.record_success(instance, exchange.parts)
         if answer.head.is_success:
-            self._suspects.served(exchange.fingerprint)
+            self._suspects.record_success(exchange.fingerprint)
         await self._finish(exchange, answer)
 
     async def _send(
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -172,7 +172,7 @@
                     elif isinstance(frame, exchange.End):
                         abandoned = False
                         if succeeded:
-                            self._suspects.served(request)
+                            self._suspects.record_success(request)
                     yield frame
         except errors.HoneyportError as error:
             abandoned = False
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -124,7 +124,7 @@
             )
         )
 
-    def served(self, request: str) -> None:
+    def record_success(self, request: str) -> None:
         """Note that a request ran to a whole and good answer."""
         self._served[request] = _now()
         self._served.move_to_end(request)
