--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -238,7 +238,7 @@
         """Tell of an instance that ended under requests of this gateway."""
         self._metrics.count('instances_ended')
         self._metrics.count('requests_under_ends', len(requests))
-        self._suspects.ended(instance, requests)
+        self._suspects.record_end(instance, requests)
 
     def _expose(self, counters: metrics.Metrics) -> None:
         counters.gauge('config_version', lambda: self._state.version)
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -133,7 +133,7 @@
         if request in self._known or request in self._own:
             self._acquit([request])
 
-    def ended(self, instance: str, requests: frozenset[str]) -> None:
+    def record_end(self, instance: str, requests: frozenset[str]) -> None:
         """Note that an instance ended while requests ran there."""
         end = _End(instance, _now(), requests)
         self._ends.append(end)
