--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -67,7 +67,7 @@
         raise errors.ConnectionRefused
 
     context.under = []
-    context.witness = witness.Witness(
+    context.witness = witness.EndDetector(
         refuse, lambda instance, requests: context.under.append(requests)
     )
 
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -58,7 +58,7 @@
         self._pool = pool.Pool()
         self._gate = lease_gate.Gate(self._state)
         self._suspects = suspects.SuspectTracker(counters)
-        self._witness = witness.Witness(self._pool.probe, self._on_end)
+        self._witness = witness.EndDetector(self._pool.probe, self._on_end)
         self._forwarder = forward.Forwarder(
             self._state,
             self._gate,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -58,7 +58,7 @@
         asked: instance_signals.InstanceSignals,
         connections: pool.Pool,
         budgets: repeats.RetryBudgets,
-        ends: witness.Witness,
+        ends: witness.EndDetector,
         held: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -56,7 +56,7 @@
         self._metrics = counters
         self._hurry = hurry
         self._suspects = held
-        self._witness = witness.Witness(self._knock, held.record_end)
+        self._witness = witness.EndDetector(self._knock, held.record_end)
         self._slots: dict[str, slots.Slot] = {}
         self._reported: collections.deque[dict[str, int]] = collections.deque(
             maxlen=_REMEMBERED
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -67,7 +67,7 @@
     task: asyncio.Task[None] | None = None
 
 
-class Witness:
+class EndDetector:
     """Watches instances on which requests of this process broke.
 
     :param probe: connects to an instance; raises
