--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -334,7 +334,7 @@
         if isinstance(error, (errors.BackendSilent, errors.DeadlinePassed)):
             self._witness.fell_silent(instance, exchange.fingerprint)
         elif isinstance(error, errors.BackendLost):
-            self._witness.broke(instance, exchange.fingerprint)
+            self._witness.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
             self._witness.is_gone(instance.id, witness.REFUSES)
         elif isinstance(error, errors.Misdirected):
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -391,7 +391,7 @@
         self, slot: slots.Slot, error: errors.HoneyportError, request: str
     ) -> None:
         if isinstance(error, errors.BackendLost | errors.AnswerCut):
-            self._witness.broke(slot, request)
+            self._witness.record_broken(slot, request)
         elif isinstance(error, errors.ConnectionRefused):
             self._witness.is_gone(slot.name, witness.REFUSES)
         if isinstance(error, errors.BackendFull):
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -83,7 +83,7 @@
         self._listed: set[str] = set()
         self._leaving: set[str] = set()
 
-    def broke(self, instance: Instance, fingerprint: str) -> None:
+    def record_broken(self, instance: Instance, fingerprint: str) -> None:
         """Note that a request's connection broke; find out why."""
         doubt = self._note(instance, fingerprint)
         if doubt.task is None:
