--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -332,7 +332,7 @@
             return
         instance = exchange.choice.instance
         if isinstance(error, (errors.BackendSilent, errors.DeadlinePassed)):
-            self._witness.fell_silent(instance, exchange.fingerprint)
+            self._witness.record_timeout(instance, exchange.fingerprint)
         elif isinstance(error, errors.BackendLost):
             self._witness.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -89,7 +89,7 @@
         if doubt.task is None:
             doubt.task = asyncio.create_task(self._probe(doubt))
 
-    def fell_silent(self, instance: Instance, fingerprint: str) -> None:
+    def record_timeout(self, instance: Instance, fingerprint: str) -> None:
         """Note that a request got no answer in time.
 
         Instances that are slow do that often; none is probed for it.
