--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -336,9 +336,9 @@
         elif isinstance(error, errors.BackendLost):
             self._witness.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
-            self._witness.is_gone(instance.id, witness.REFUSES)
+            self._witness.record_gone(instance.id, witness.REFUSES)
         elif isinstance(error, errors.Misdirected):
-            self._witness.is_gone(instance.id, witness.REPLACED)
+            self._witness.record_gone(instance.id, witness.REPLACED)
 
     def _may_go_on(
         self, exchange: exchanges.Exchange, error: errors.HoneyportError
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -96,7 +96,7 @@
         """
         self._note(instance, fingerprint)
 
-    def is_gone(self, instance: str, sign: str) -> None:
+    def record_gone(self, instance: str, sign: str) -> None:
         """Note that an instance is no longer at its address.
 
         :param sign: what shows it, for the log
@@ -111,7 +111,7 @@
         :param leaving: those that leave in an orderly way
         """
         for name in self._listed - listed:
-            self.is_gone(name, _UNLISTED)
+            self.record_gone(name, _UNLISTED)
         # One that just left the list in an orderly way may still be about to
         # close its connections.
         left = self._leaving & (self._listed - listed)
@@ -173,7 +173,7 @@
             try:
                 await self._connect(doubt.instance)
             except errors.ConnectionRefused:
-                self.is_gone(name, REFUSES)
+                self.record_gone(name, REFUSES)
                 return
             except errors.NotSent:
                 answered = False
