--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -224,7 +224,7 @@
     def _regard_list(self) -> None:
         """Show the witness a new list of instances."""
         listed = self._state.instances.instances
-        self._witness.regard(
+        self._witness.apply_listing(
             {one.id for one in listed},
             {
                 one.id
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -214,7 +214,7 @@
         # A bundle names its servers until an operator removes them, so none
         # ends by leaving it.
         leaving = filter(self._state.is_leaving, self._slots)
-        self._witness.regard(set(), set(leaving))
+        self._witness.apply_listing(set(), set(leaving))
         self._news.set()
 
     def close(self) -> None:
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -105,7 +105,7 @@
         if doubt is not None:
             self._end(doubt, sign)
 
-    def regard(self, listed: set[str], leaving: set[str]) -> None:
+    def apply_listing(self, listed: set[str], leaving: set[str]) -> None:
         """Take the platform's list; who was on it and is not has ended.
 
         :param leaving: those that leave in an orderly way
