--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -50,7 +50,7 @@
         self._metrics = counters
         self._state = fleetstate.FleetState()
         self._wishes = instance_signals.InstanceSignals(
-            names, counters, lambda name: self._witness.leaves(name)
+            names, counters, lambda name: self._witness.mark_leaving(name)
         )
         self._balancer = balancer.Balancer(
             settings.name, settings.domain, settings.regions, self._wishes
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -119,7 +119,7 @@
         self._leaving = leaving | left
         self._forget_old()
 
-    def leaves(self, instance: str) -> None:
+    def mark_leaving(self, instance: str) -> None:
         """Take it that an instance leaves in an orderly way."""
         self._leaving.add(instance)
 
