--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -175,7 +175,7 @@
         # Unsettled, a copy would go to the next instance while nobody knows
         # whether this request ended the last one.
         if exchange.runs >= suspicion.PERMIT_MIN_ENDS:
-            await self._witness.settle(exchange.instance_id)
+            await self._witness.wait_probed(exchange.instance_id)
         async with self._suspects.admit(
             exchange.fingerprint,
             lambda call: self._witness.when_settled(
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -123,7 +123,7 @@
         """Take it that an instance leaves in an orderly way."""
         self._leaving.add(instance)
 
-    async def settle(self, instance: str) -> None:
+    async def wait_probed(self, instance: str) -> None:
         """Return once an instance is not being probed."""
         doubt = self._doubts.get(instance)
         if doubt is not None and doubt.task is not None:
