--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -178,7 +178,7 @@
             await self._witness.wait_probed(exchange.instance_id)
         async with self._suspects.admit(
             exchange.fingerprint,
-            lambda call: self._witness.when_settled(
+            lambda call: self._witness.call_when_probed(
                 exchange.instance_id, call
             ),
         ):
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -142,7 +142,7 @@
         # A call that ends its backend server would end one server after
         # another, also where each copy comes under another id.
         async with self._suspects.admit(
-            request, lambda call: self._witness.when_settled(backend, call)
+            request, lambda call: self._witness.call_when_probed(backend, call)
         ):
             frames = self._run(call, backend, request)
             async with contextlib.aclosing(frames):
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -129,7 +129,7 @@
         if doubt is not None and doubt.task is not None:
             await asyncio.wait([doubt.task])
 
-    def when_settled(
+    def call_when_probed(
         self, instance: str, call: collections.abc.Callable[[], None]
     ) -> None:
         """Call a function once an instance is not being probed."""
