--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -336,7 +336,7 @@
         elif isinstance(error, errors.BackendLost):
             self._witness.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
-            self._witness.record_gone(instance.id, witness.REFUSES)
+            self._witness.record_gone(instance.id, witness.CONNECTION_REFUSED)
         elif isinstance(error, errors.Misdirected):
             self._witness.record_gone(instance.id, witness.REPLACED)
 
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -393,7 +393,7 @@
         if isinstance(error, errors.BackendLost | errors.AnswerCut):
             self._witness.record_broken(slot, request)
         elif isinstance(error, errors.ConnectionRefused):
-            self._witness.record_gone(slot.name, witness.REFUSES)
+            self._witness.record_gone(slot.name, witness.CONNECTION_REFUSED)
         if isinstance(error, errors.BackendFull):
             slot.limit = max(1.0, slot.limit * _BACKOFF)
             if error.retry_after is not None:
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -32,7 +32,7 @@
 _MOST_LOGGED = 20
 
 # What shows that an instance ended, in the log.
-REFUSES = 'nothing listens there'
+CONNECTION_REFUSED = 'nothing listens there'
 REPLACED = 'another instance is there'
 _UNLISTED = 'the list names it no longer'
 
@@ -173,7 +173,7 @@
             try:
                 await self._connect(doubt.instance)
             except errors.ConnectionRefused:
-                self.record_gone(name, REFUSES)
+                self.record_gone(name, CONNECTION_REFUSED)
                 return
             except errors.NotSent:
                 answered = False
