--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -338,7 +338,7 @@
         elif isinstance(error, errors.ConnectionRefused):
             self._witness.record_gone(instance.id, witness.CONNECTION_REFUSED)
         elif isinstance(error, errors.Misdirected):
-            self._witness.record_gone(instance.id, witness.REPLACED)
+            self._witness.record_gone(instance.id, witness.ADDRESS_REUSED)
 
     def _may_go_on(
         self, exchange: exchanges.Exchange, error: errors.HoneyportError
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -33,7 +33,7 @@
 
 # What shows that an instance ended, in the log.
 CONNECTION_REFUSED = 'nothing listens there'
-REPLACED = 'another instance is there'
+ADDRESS_REUSED = 'another instance is there'
 _UNLISTED = 'the list names it no longer'
 
 OnEnd = collections.abc.Callable[[str, frozenset[str]], None]
