--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -157,7 +157,7 @@
                 got += offset.take(part)
             if offset.last_event > 20:
                 break
-    offset.restart()
+    offset.begin_resume()
     headers['Last_Event_ID'] = str(offset.last_event)
     request = calls.chat('yard-5', tokens=_TOKENS, **headers)
     reply = await calls.send(world.address(second), request)
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -267,7 +267,7 @@
             stop -= size
         if offset.last_event == len(events):
             return got
-        offset.restart()
+        offset.begin_resume()
 
 
 @behave.then('what the caller has is always the whole stream')
--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -119,7 +119,7 @@
                 problem = error
             if not _may_retry_chat(problem) or not self._budget.spend():
                 raise problem
-            progress.offset.restart()
+            progress.offset.begin_resume()
         raise problem
 
     def _chat_request(
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -178,7 +178,7 @@
                 if asyncio.get_running_loop().time() > until:
                     raise errors.AnswerCut(error.detail) from None
                 await asyncio.sleep(_HANDOVER_PAUSE_S)
-            offset.restart()
+            offset.begin_resume()
             current = attrs.evolve(
                 call,
                 attempt=call.attempt + attempt - 1,
--- a/src/honeyport/router/resume.py
+++ b/src/honeyport/router/resume.py
@@ -25,7 +25,7 @@
         """The number of the last whole event; 0 for none."""
         return self._last_event
 
-    def restart(self) -> None:
+    def begin_resume(self) -> None:
         """Note that the stream goes on after the last whole event."""
         self._skip = len(self._rest)
 
