--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -154,7 +154,7 @@
     async with contextlib.aclosing(parts):
         async for part in parts:
             if isinstance(part, bytes):
-                got += offset.take(part)
+                got += offset.strip_received(part)
             if offset.last_event > 20:
                 break
     offset.begin_resume()
@@ -163,7 +163,7 @@
     reply = await calls.send(world.address(second), request)
     assert reply.status == 200, reply
     before, _, _ = reply.body.rpartition(b': whole bytes=')
-    context.got = got + offset.take(before)
+    context.got = got + offset.strip_received(before)
 
 
 @behave.then('both parts together are what the engine wrote')
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -262,7 +262,7 @@
             stop = len(rest)
         while rest and stop > 0:
             size = min(stop, generator.randrange(1, 20))
-            got += offset.take(rest[:size])
+            got += offset.strip_received(rest[:size])
             rest = rest[size:]
             stop -= size
         if offset.last_event == len(events):
--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -308,7 +308,7 @@
 
     def add(self, part: bytes) -> bytes:
         """Count bytes in; return those that the caller lacks."""
-        payload = self.offset.take(part)
+        payload = self.offset.strip_received(part)
         self.length += len(payload)
         self._tail = (self._tail + payload)[-_TAIL:]
         return payload
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -155,7 +155,7 @@
                     elif isinstance(frame, exchange.Data):
                         payload = frame.payload
                         if streamed:
-                            payload = offset.take(payload)
+                            payload = offset.strip_received(payload)
                         number += 1
                         length += len(payload)
                         yield exchange.Data(number, payload)
--- a/src/honeyport/router/resume.py
+++ b/src/honeyport/router/resume.py
@@ -29,7 +29,7 @@
         """Note that the stream goes on after the last whole event."""
         self._skip = len(self._rest)
 
-    def take(self, payload: bytes) -> bytes:
+    def strip_received(self, payload: bytes) -> bytes:
         """Count bytes in; return those that the caller lacks."""
         if self._skip:
             skipped = min(self._skip, len(payload))
