--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -145,7 +145,7 @@
 
 async def go_on(context, first, second):
     world = context.world
-    offset = resume.Offset()
+    offset = resume.StreamOffset()
     headers = {'X_Request_Id': 'resumed-1', 'Honeyport_Linger': '1'}
     request = calls.chat('yard-5', tokens=_TOKENS, **headers)
     got = b''
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -253,7 +253,7 @@
 
 def cut(events, generator):
     """Return what a caller has after cuts and resumptions."""
-    offset = resume.Offset()
+    offset = resume.StreamOffset()
     got = b''
     while True:
         rest = b''.join(events[offset.last_event :])
--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -302,7 +302,7 @@
     """How far a stream of events has come, and whether it is whole."""
 
     def __init__(self) -> None:
-        self.offset = resume.Offset()
+        self.offset = resume.StreamOffset()
         self.length = 0
         self._tail = b''
 
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -138,7 +138,7 @@
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
         """Yield an answer; resume a stream of events that is cut."""
-        offset = resume.Offset(max(0, call.resume_after))
+        offset = resume.StreamOffset(max(0, call.resume_after))
         number = length = 0
         streamed = headed = False
         current = call
--- a/src/honeyport/router/resume.py
+++ b/src/honeyport/router/resume.py
@@ -9,7 +9,7 @@
 _FIELD = b'id: '
 
 
-class Offset:
+class StreamOffset:
     """How far a caller has got in a stream of events.
 
     :param last_event: number of the last whole event before the stream
