--- a/src/honeyport/router/shares.py
+++ b/src/honeyport/router/shares.py
@@ -74,7 +74,7 @@
         finally:
             self._settle(turn)
 
-    def pop(self, *, room: bool) -> bool:
+    def grant_next(self, *, room: bool) -> bool:
         """Give the next request its turn; return whether there was one.
 
         :param room: what the request's :meth:`wait` returns
