--- a/src/honeyport/router/shares.py
+++ b/src/honeyport/router/shares.py
@@ -74,7 +74,7 @@
         finally:
             self._settle(turn)
 
-    def grant_next(self, *, room: bool) -> bool:
+    def grant_next(self, *, granted: bool) -> bool:
         """Give the next request its turn; return whether there was one.
 
         :param room: what the request's :meth:`wait` returns
@@ -85,7 +85,7 @@
                 continue
             self._clock = waiter.tag
             self._length -= 1
-            waiter.turn.set_result(room)
+            waiter.turn.set_result(granted)
             self._trim()
             return True
         return False
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -206,7 +206,7 @@
         self._lapsed = lapsed
         if lapsed:
             for slot in self._slots.values():
-                while slot.queue.grant_next(room=False):
+                while slot.queue.grant_next(granted=False):
                     pass
 
     def notice(self) -> None:
@@ -270,7 +270,7 @@
             slot.owned = False
             slot.ready = False
             logs.emit(events.ENGINE_LEFT, backend=slot.name)
-        while slot.queue.grant_next(room=False):
+        while slot.queue.grant_next(granted=False):
             pass
 
     def _drop(self, slot: slots.Slot) -> None:
@@ -376,7 +376,7 @@
     def _admit_waiting(self, slot: slots.Slot) -> None:
         while len(slot.queue) and self._has_room(slot):
             slot.running += 1
-            if not slot.queue.grant_next(room=True):
+            if not slot.queue.grant_next(granted=True):
                 slot.running -= 1
                 return
 
