--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -80,8 +80,8 @@
 
     async def fall_silent():
         for number in range(count):
-            context.witness.fell_silent(instance, f'{number:032x}')
-        context.witness.is_gone('i-1', witness.CONNECTION_REFUSED)
+            context.witness.record_timeout(instance, f'{number:032x}')
+        context.witness.record_gone('i-1', witness.CONNECTION_REFUSED)
 
     context.run(fall_silent())
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -163,7 +163,7 @@
 def step_none(context):
     for state in context.setting.states.values():
         assert not any(state.residual(server) for server in _SERVERS)
-        assert not state.residuals
+        assert not state.running_elsewhere
         assert not state._others._running, (
             'names of what is gone must not pile up'
         )
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -351,7 +351,7 @@
 def step_knows_others(context):
     wanted = {leading.hello(one.number).router for one in context.gateways}
     for one in context.gateways:
-        found = {member.router for member in one.state.present}
+        found = {member.router for member in one.state.serving_routers}
         assert found == wanted, wanted ^ found
 
 
@@ -359,7 +359,7 @@
 def step_knows_loads(context):
     wanted = {name: count for name, count in context.running.items() if count}
     for one in context.gateways:
-        assert one.state.residuals == wanted
+        assert one.state.running_elsewhere == wanted
 
 
 @behave.then('at most 1 kB wait for it meanwhile')
