--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -13,8 +13,8 @@
 import attrs
 
 from honeyport import errors
-from honeyport.gateway import cold_start
 from honeyport.gateway import instance_signals
+from honeyport.gateway import warmth
 from honeyport.policy import health
 from honeyport.policy import placement
 from honeyport.policy import prefixes
@@ -55,7 +55,7 @@
         self._domain = domain
         self._regions = regions
         self._evacuated: Domains = frozenset()
-        self._warmth = cold_start.Warmth(name)
+        self._warmth = warmth.Warmth(name)
         self._number = 0
         self._services: dict[str, list[placement.Instance]] = {}
         self._running: collections.Counter[str] = collections.Counter()
@@ -72,7 +72,7 @@
         """Requests of this gateway in flight, by instance."""
         return self._running
 
-    def set_cold_limits(self, tolerances: cold_start.Tolerances) -> None:
+    def set_cold_limits(self, tolerances: warmth.Tolerances) -> None:
         """Take what cold instances tolerate, by service."""
         self._warmth.tolerate(tolerances)
 
