--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -25,9 +25,9 @@
 from honeyport.policy import repeats
 from honeyport.policy import silence
 from honeyport.policy import suspicion
+from honeyport.router import end_detector
 from honeyport.router import fleetstate
 from honeyport.router import suspects
-from honeyport.router import witness
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
@@ -58,7 +58,7 @@
         asked: instance_signals.InstanceSignals,
         connections: pool.Pool,
         budgets: repeats.RetryBudgets,
-        ends: witness.EndDetector,
+        ends: end_detector.EndDetector,
         held: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
@@ -336,9 +336,11 @@
         elif isinstance(error, errors.BackendLost):
             self._witness.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
-            self._witness.record_gone(instance.id, witness.CONNECTION_REFUSED)
+            self._witness.record_gone(
+                instance.id, end_detector.CONNECTION_REFUSED
+            )
         elif isinstance(error, errors.Misdirected):
-            self._witness.record_gone(instance.id, witness.ADDRESS_REUSED)
+            self._witness.record_gone(instance.id, end_detector.ADDRESS_REUSED)
 
     def _may_go_on(
         self, exchange: exchanges.Exchange, error: errors.HoneyportError
--- a/src/honeyport/router/slots.py
+++ b/src/honeyport/router/backend_state.py
@@ -4,8 +4,8 @@
 
 from honeyport.backend import registry
 from honeyport.bundle import model
-from honeyport.router import shares
-from honeyport.router import transfer
+from honeyport.router import fair_queue
+from honeyport.router import prefix_transfer
 
 DOWN_AFTER = 2  # failed connections in a row
 _FIRST_SERVICE_S = 0.5  # guess of a request's time before one was seen
@@ -23,8 +23,8 @@
     kind: str
     backend: model.Backend
     client: registry.Client
-    hot: transfer.HotChats
-    queue: shares.FairQueue = attrs.field(init=False)
+    hot: prefix_transfer.HotChats
+    queue: fair_queue.FairQueue = attrs.field(init=False)
     running: int = 0
     ready: bool = False
     owned: bool = False
@@ -35,7 +35,7 @@
     service_s: float = _FIRST_SERVICE_S
 
     def __attrs_post_init__(self) -> None:
-        self.queue = shares.FairQueue(self.give_back)
+        self.queue = fair_queue.FairQueue(self.give_back)
 
     def give_back(self) -> None:
         """Count one request less."""
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -10,7 +10,7 @@
 from honeyport.bundle import packed
 from honeyport import errors
 from honeyport.policy import hashing
-from honeyport.router import others
+from honeyport.router import peer_loads
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
@@ -51,7 +51,7 @@
         self._layout = 0
         self._lease_until = float('-inf')
         self._heard_as_of = float('-inf')
-        self._others = others.Others()
+        self._others = peer_loads.Others()
         self._down: frozenset[str] = frozenset()
         self._leaving: frozenset[str] = frozenset()
         self._instances = pb.Instances()
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -18,7 +18,7 @@
 from honeyport.policy import addresses
 from honeyport.policy import contacts
 from honeyport.router import fleetstate
-from honeyport.router import search
+from honeyport.router import leader_search
 from honeyport.router import suspects
 from honeyport.settings import roles
 from honeyport.telemetry import events
@@ -89,7 +89,7 @@
         self._pending: dict[int, _Pending] = {}
         self._gap = True
         self._attached_to = ''
-        self._search = search.Search(counters)
+        self._search = leader_search.Search(counters)
         self._start_over = False  # our configuration led nowhere
 
     @property
@@ -180,11 +180,11 @@
         try:
             first = await asyncio.wait_for(call.read(), _ATTACH_S)
             if first is grpc.aio.EOF:
-                return search.ENDED
+                return leader_search.ENDED
             if self._redirected(first):
                 if self._contacts.has_leader:
-                    return search.REDIRECTED
-                return search.NO_LEADER
+                    return leader_search.REDIRECTED
+                return leader_search.NO_LEADER
             self._begin(box)
             self._attached_to = address
             self._search.open(address)
@@ -192,11 +192,11 @@
             self._take(first)
             while (batch := await self._next(call)) is not grpc.aio.EOF:
                 if self._redirected(batch):
-                    return search.REDIRECTED
+                    return leader_search.REDIRECTED
                 self._take(batch)
-            return search.ENDED
+            return leader_search.ENDED
         except TimeoutError:
-            return search.SILENT  # frozen, or cut off
+            return leader_search.SILENT  # frozen, or cut off
         finally:
             call.cancel()
             if reporter is not None:
