--- a/bench/control.py
+++ b/bench/control.py
@@ -251,11 +251,11 @@
 
 def _timing_only(world: worlds.World) -> typing.Any:
     """Return a bundle that has only the timing."""
-    small = entries.join(
+    small = entries.from_entries(
         1,
         {
             key: text
-            for key, text in entries.split(_bundle(world)).items()
+            for key, text in entries.to_entries(_bundle(world)).items()
             if '/' not in key
         },
     )
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -43,7 +43,7 @@
         began = time.process_time()
         for number in range(reports):
             one = opened[(tick * reports + number) % count]
-            streams._report(one, _report(tick, number))
+            streams._handle_report(one, _report(tick, number))
         streams._tick()
         spent += time.process_time() - began
         for one in opened:
--- a/bench/pieces.py
+++ b/bench/pieces.py
@@ -23,7 +23,7 @@
     """Measure configuration, stewardship, ranking and message sizes."""
     figures: registry.Figures = {}
     bundle = _bundle()
-    items = entries.split(bundle)
+    items = entries.to_entries(bundle)
     contents = entries.EntrySet(items)
     delta = entries.Delta(
         1, 2, {'accounts/account-5': '{"share":2.0}'}, ('accounts/account-6',)
@@ -31,11 +31,14 @@
 
     def apply() -> None:
         contents.apply(delta).digest(2)
-        entries.rejoin(bundle, delta)
+        entries.apply_delta(bundle, delta)
 
     figures['apply_change_ms'] = _milliseconds(apply, _TIMES)
     figures['join_snapshot_ms'] = _milliseconds(
-        lambda: entries.EntrySet(entries.split(entries.join(1, items))), 3
+        lambda: entries.EntrySet(
+            entries.to_entries(entries.from_entries(1, items))
+        ),
+        3,
     )
     figures['snapshot_kb'] = len(packed.pack_snapshot(items)) / 1000
     near = [f'router-{number}' for number in range(_ROUTERS_NEAR)]
--- a/features/steps/catalog_steps.py
+++ b/features/steps/catalog_steps.py
@@ -97,7 +97,7 @@
 
     async def _look(self) -> None:
         reading = asyncio.create_task(self.catalog.run())
-        recording = asyncio.create_task(self.catalog.record())
+        recording = asyncio.create_task(self.catalog.persist_places())
         await asyncio.sleep(_RECORDED_S)
         for task in (reading, recording):
             task.cancel()
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -175,7 +175,7 @@
     path = world.folder / 'many.yaml'
     path.write_text(yaml.safe_dump(world.bundle()))
     bundle = files.load(path)
-    signed = signing.Signed(bundle.version, entries.split(bundle), {})
+    signed = signing.Signed(bundle.version, entries.to_entries(bundle), {})
     return signing.sign(signed, str(world.folder / 'keys' / 'ops.pem'))
 
 
@@ -192,7 +192,7 @@
 @behave.when('a change signed by a stranger is submitted')
 def step_stranger(context):
     world = context.world
-    signing.new_key(str(world.folder / 'stranger'), 'ops')
+    signing.write_new_key(str(world.folder / 'stranger'), 'ops')
     bundle = world.folder / 'bundle-next.yaml'
     world.sign(world.bundle(), 'bundle-next')
     out = world.folder / 'strange.json'
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -107,7 +107,7 @@
             accounts={'district': model.Account(keys=keys)},
             routes={'r': route},
         )
-        entries = bundle_entries.split(bundle)
+        entries = bundle_entries.to_entries(bundle)
         text = bundle_entries.canonical(entries)
         self.gateway.state.apply_config(
             pb.Config(
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -22,9 +22,9 @@
             pb.Instance(id=name, domain=domain)
             for name, domain in zip(_SERVERS, _DOMAINS, strict=False)
         ]
-        lists = listings.Listings()
+        lists = listings.InstanceLists()
         if hello:  # of those who read the list of instances
-            lists.take(1, listed)
+            lists.replace(1, listed)
             lists.publish()
         self.fleet = fleet.Fleet(1, 0.0, lists)
         self.now = 100.0
@@ -37,7 +37,7 @@
         }
         self.resting = dict.fromkeys(_ROUTERS, ())
         self.sessions = {
-            name: self.fleet.greet(
+            name: self.fleet.register(
                 pb.Hello(router=name, domain=domain, **hello),
                 self.now,
                 _LEASE_S,
@@ -67,13 +67,13 @@
             )
             reports[name] = report
             session = self.sessions[name]
-            self.fleet.report(session, report, self.now, _LEASE_S)
-        self.fleet.summarize(self.now, _FRESH_S)
+            self.fleet.apply_report(session, report, self.now, _LEASE_S)
+        self.fleet.update_loads(self.now, _FRESH_S)
         self.messages = [
             self.fleet.loads.message(self.has[name]) for name in _ROUTERS
         ]
         for name, message in zip(_ROUTERS, self.messages, strict=True):
-            assert self.sessions[name].counted == self.number
+            assert self.sessions[name].counted_report_number == self.number
             self.states[name].apply_own_report(reports[name])
             self.states[name].apply_loads(message)
             self.has[name] = message.number
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -77,9 +77,9 @@
         self.loop = simulation.VirtualLoop()
         self.node = leading.LeaderStub()
         self.node.term = term
-        self.lists = listings.Listings()
+        self.lists = listings.InstanceLists()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
-        self.streams.follow(self.lists)
+        self.streams.use_instance_lists(self.lists)
         self.run(self._begin())
         self.gateways = []
         self.ticks = 0
@@ -101,7 +101,7 @@
             services={f's-{version}': model.Service(kind=model.SERVICE)},
             backends={},
         )
-        entries = bundle_entries.split(bundle)
+        entries = bundle_entries.to_entries(bundle)
         command = pb.ReplaceBundle(
             version=version, entries=packed.pack_snapshot(entries)
         )
@@ -116,7 +116,7 @@
     def list(self, instances):
         """Take a new list of instances."""
         number = (self.node.term << 24) + self.lists.number % (1 << 24) + 1
-        self.lists.take(number, instances)
+        self.lists.replace(number, instances)
 
     async def tick(self, count=1):
         """Let ticks pass; who takes something, takes all.
@@ -131,7 +131,7 @@
                     one.number % _TICKS_A_REPORT
                     == self.ticks % _TICKS_A_REPORT
                 ):
-                    self.streams._report(one.session, one.report())
+                    self.streams._handle_report(one.session, one.report())
             self.streams._tick()
             while self.changes:
                 self.list(self.changes.pop())
@@ -146,7 +146,7 @@
         """End the stream of a gateway that died."""
         self.gateways.remove(gateway)
         self.streams._close(gateway.session)
-        self.streams.fleet.miss(gateway.session.router)
+        self.streams.fleet.mark_silent(gateway.session.router)
 
 
 def _instances(seed=1):
@@ -284,7 +284,7 @@
 
     async def report():
         streams = context.leader.streams
-        streams._report(gateway.session, gateway.report())
+        streams._handle_report(gateway.session, gateway.report())
         streams._tick()
         context.items = streams._take_items(gateway.session)
 
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -65,7 +65,7 @@
             for number in range(count)
         },
     )
-    items = entries.split(bundle)
+    items = entries.to_entries(bundle)
     return pb.Config(
         version=1,
         digest=entries.digest(1, items),
--- a/features/steps/version_steps.py
+++ b/features/steps/version_steps.py
@@ -32,7 +32,7 @@
             for number in range(routes)
         },
     )
-    contents = bundle_entries.EntrySet(bundle_entries.split(bundle))
+    contents = bundle_entries.EntrySet(bundle_entries.to_entries(bundle))
     return machine.Accepted(version, contents.digest(version), contents)
 
 
@@ -40,7 +40,7 @@
     """Return the state of a router that holds a version."""
     state = fleetstate.FleetState()
     held = accepted(version, 1)
-    state.apply_config(versions.Versions().message(0, held))
+    state.apply_config(versions.BundleVersions().message(0, held))
     assert state.version == version
     return state
 
@@ -51,9 +51,9 @@
 def step_versions(context, old, new, count):
     context.count = count
     context.newest = accepted(new, count + 1)
-    context.versions = versions.Versions()
-    context.versions.keep(accepted(old, 1))
-    context.versions.keep(context.newest)
+    context.versions = versions.BundleVersions()
+    context.versions.add(accepted(old, 1))
+    context.versions.add(context.newest)
 
 
 @behave.then('two routers at version {version:d} get the same message')
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -47,7 +47,7 @@
         self.timing: dict[str, typing.Any] = dict(TIMING)
         self.version = 0
         self.model: dict[str, typing.Any] = {'version': '1'}
-        self.public = signing.new_key(str(folder / 'keys'), 'ops')
+        self.public = signing.write_new_key(str(folder / 'keys'), 'ops')
         self.control: dict[str, str] = {}
         self.tasks: list[asyncio.Task[typing.Any]] = []
 
@@ -195,7 +195,7 @@
         path = self.folder / f'{name}.yaml'
         path.write_text(yaml.safe_dump(bundle))
         loaded = files.load(path)
-        signed = signing.Signed(loaded.version, entries.split(loaded), {})
+        signed = signing.Signed(loaded.version, entries.to_entries(loaded), {})
         signed = signing.sign(signed, str(self.folder / 'keys' / 'ops.pem'))
         out = self.folder / f'{name}.json'
         out.write_text(signed.to_json())
--- a/src/honeyport/bundle/entries.py
+++ b/src/honeyport/bundle/entries.py
@@ -101,7 +101,7 @@
         return hashlib.sha256(text.encode()).digest()
 
 
-def split(bundle: model.Bundle) -> Entries:
+def to_entries(bundle: model.Bundle) -> Entries:
     """Return the entries of a bundle."""
     entries = {
         name: canonical(attrs.asdict(getattr(bundle, name)))
@@ -113,7 +113,7 @@
     return entries
 
 
-def join(version: int, entries: Entries) -> model.Bundle:
+def from_entries(version: int, entries: Entries) -> model.Bundle:
     """Return the bundle that entries make up."""
     empty = model.Bundle(
         version=version,
@@ -121,7 +121,7 @@
         services={},
         backends={},
     )
-    return rejoin(empty, Delta(0, version, entries, ()))
+    return apply_delta(empty, Delta(0, version, entries, ()))
 
 
 def timing(entries: Entries) -> model.Timing:
@@ -130,7 +130,7 @@
     return _structure(model.Timing, text) if text else model.Timing()
 
 
-def rejoin(bundle: model.Bundle, delta: Delta) -> model.Bundle:
+def apply_delta(bundle: model.Bundle, delta: Delta) -> model.Bundle:
     """Return a bundle after a delta; what did not change is shared."""
     sections = {name: dict(getattr(bundle, name)) for name in _KEYED}
     singles = {name: getattr(bundle, name) for name in _SINGLE}
@@ -151,7 +151,7 @@
     return EntrySet(entries).digest(version)
 
 
-def difference(base: int, old: Entries, version: int, new: Entries) -> Delta:
+def diff(base: int, old: Entries, version: int, new: Entries) -> Delta:
     """Return what to change in ``old`` to get ``new``."""
     put = {key: value for key, value in new.items() if old.get(key) != value}
     removed = tuple(sorted(key for key in old if key not in new))
--- a/src/honeyport/bundle/files.py
+++ b/src/honeyport/bundle/files.py
@@ -13,11 +13,11 @@
 
 
 @attrs.frozen
-class Problem:
+class Violation:
     """A rule that a bundle breaks."""
 
     path: str
-    text: str
+    expected: str
 
 
 def load(path: str | pathlib.Path) -> model.Bundle:
@@ -27,33 +27,33 @@
         expected
     """
     bundle = document.load(path, model.Bundle, errors.BundleInvalid)
-    found = problem(bundle)
+    found = find_violation(bundle)
     if found:
         line = _line(path, found.path)
         raise errors.BundleInvalid(
-            f'{path}:{line}: {found.path}: expected {found.text}'
+            f'{path}:{line}: {found.path}: expected {found.expected}'
         )
     return bundle
 
 
-def problem(bundle: model.Bundle) -> Problem | None:
+def find_violation(bundle: model.Bundle) -> Violation | None:
     """Return the first rule that the parts break together, if any."""
     for section in ('services', 'backends', 'models', 'accounts'):
         for name in getattr(bundle, section):
             if not _NAME.fullmatch(name):
-                return Problem(f'{section}.{name}', 'a-z, 0-9, ., _ and -')
+                return Violation(f'{section}.{name}', 'a-z, 0-9, ., _ and -')
     for name, service in bundle.services.items():
         if service.kind == model.ENGINE and service.model not in bundle.models:
-            return Problem(f'services.{name}.model', 'a model from models')
+            return Violation(f'services.{name}.model', 'a model from models')
     for name, backend in bundle.backends.items():
         if backend.service not in bundle.services:
-            return Problem(
+            return Violation(
                 f'backends.{name}.service', 'a service from services'
             )
     if len(set(bundle.signers.keys.values())) < bundle.signers.threshold:
-        return Problem('signers.threshold', 'no more than there are keys')
+        return Violation('signers.threshold', 'no more than there are keys')
     if bundle.timing.lease_ms < 4 * bundle.timing.report_ms:
-        return Problem('timing.lease_ms', 'at least four times report_ms')
+        return Violation('timing.lease_ms', 'at least four times report_ms')
     return None
 
 
--- a/src/honeyport/bundle/packed.py
+++ b/src/honeyport/bundle/packed.py
@@ -21,12 +21,12 @@
     return _pack([delta.put, delta.removed])
 
 
-def read_snapshot(data: bytes) -> bundle_entries.Entries:
+def unpack_snapshot(data: bytes) -> bundle_entries.Entries:
     """Return all entries of a version that was packed."""
     return json.loads(zlib.decompress(data))
 
 
-def read_delta(config: pb.Config) -> bundle_entries.Delta:
+def unpack_delta(config: pb.Config) -> bundle_entries.Delta:
     """Return the delta that a message brings."""
     put, removed = json.loads(zlib.decompress(config.delta))
     return bundle_entries.Delta(
--- a/src/honeyport/bundle/signing.py
+++ b/src/honeyport/bundle/signing.py
@@ -60,16 +60,18 @@
     :raises errors.BundleInvalid: if one does not
     """
     try:
-        bundle = bundle_entries.join(signed.version, signed.entries)
+        bundle = bundle_entries.from_entries(signed.version, signed.entries)
     except (KeyError, TypeError, ValueError) as error:
         raise errors.BundleInvalid(f'unreadable entry: {error!r}') from None
-    problem = files.problem(bundle)
+    problem = files.find_violation(bundle)
     if problem:
-        raise errors.BundleInvalid(f'{problem.path}: expected {problem.text}')
+        raise errors.BundleInvalid(
+            f'{problem.path}: expected {problem.expected}'
+        )
     return bundle
 
 
-def new_key(folder: str, name: str) -> str:
+def write_new_key(folder: str, name: str) -> str:
     """Write a private key into a folder; return its public key in base64."""
     key = ed25519.Ed25519PrivateKey.generate()
     raw = key.private_bytes(
--- a/src/honeyport/cli.py
+++ b/src/honeyport/cli.py
@@ -24,7 +24,7 @@
         """
         from honeyport.bundle import signing
 
-        return signing.new_key(folder, name)
+        return signing.write_new_key(folder, name)
 
 
 class Bundle:
--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -27,7 +27,7 @@
 
 # A third of the shortest bound that the platforms set between the first
 # sign that an instance leaves and its last request (3 s).
-PERIOD_S = 0.9
+READ_INTERVAL_S = 0.9
 # The longest time, in seconds, for which the list is left alone where who
 # serves it asks for that: requests go on to instances that leave meanwhile.
 _LONGEST_PAUSE_S = 3.0
@@ -62,7 +62,7 @@
         self._refusals: tuple[readings.Refusal, ...] = ()
         self._assigner: places.Assigner | None = None
         self._is_unsaved = False
-        self._lists = listings.Listings()
+        self._lists = listings.InstanceLists()
         self._known: list[pb.Instance] = []
         self._latest: list[pb.Instance] = []
         self._number = 0
@@ -71,7 +71,7 @@
         self._readable = True
 
     @property
-    def lists(self) -> listings.Listings:
+    def lists(self) -> listings.InstanceLists:
         """The lists of this leadership."""
         return self._lists
 
@@ -90,7 +90,7 @@
         while True:
             if self._node.leads:
                 again_s = await self._read()
-                await asyncio.sleep(max(PERIOD_S, again_s))
+                await asyncio.sleep(max(READ_INTERVAL_S, again_s))
             else:
                 self._lists.clear()
                 self._known = []
@@ -100,7 +100,7 @@
                 self._assigner = None
                 await asyncio.sleep(0.1)
 
-    async def record(self) -> None:
+    async def persist_places(self) -> None:
         """Write changed places to the log while this replica leads."""
         while True:
             await asyncio.sleep(_RECORD_S)
@@ -152,7 +152,7 @@
         self._counter += 1
         self._number = (self._node.term << _TERM_SHIFT) + self._counter
         self._latest = [self._with_spell(one) for one in found]
-        self._lists.take(self._number, self._latest)
+        self._lists.replace(self._number, self._latest)
         logs.emit(
             events.LIST_CHANGED,
             list_number=self._number,
--- a/src/honeyport/control/claims.py
+++ b/src/honeyport/control/claims.py
@@ -100,7 +100,7 @@
     def _claim(
         self, request: pb.ClaimRequest
     ) -> tuple['pb.ClaimAnswer.State', bytes]:
-        issued_s = issue_time(request.key) or 0.0
+        issued_s = issue_time_s(request.key) or 0.0
         horizon_s = self._now_s - request.retention_s
         self._horizon_s = max(self._horizon_s, horizon_s)
         if issued_s <= self._horizon_s:
@@ -135,7 +135,7 @@
             del self._claims[key]
 
 
-def issue_time(key: str) -> float | None:
+def issue_time_s(key: str) -> float | None:
     """Return when a UUIDv7 was issued, in seconds since the epoch.
 
     :returns: ``None`` if the key is not a UUIDv7 (RFC 9562, section 5.7)
--- a/src/honeyport/control/clearance.py
+++ b/src/honeyport/control/clearance.py
@@ -11,7 +11,7 @@
 _OPERATOR = 'operator'
 
 
-class Clearance(rpc.SuspicionServicer):
+class SuspicionService(rpc.SuspicionServicer):
     """Answers operators on every control replica; the leader acts."""
 
     def __init__(self, node: replica.Replica, held: suspects.Suspects) -> None:
--- a/src/honeyport/control/daemon.py
+++ b/src/honeyport/control/daemon.py
@@ -28,10 +28,10 @@
     genesis = model.Signers(
         threshold=settings.threshold, keys=settings.signers
     )
-    desk = operators.Operators(parts.node, parts.routers, genesis)
+    desk = operators.OperatorService(parts.node, parts.routers, genesis)
     rpc.add_OperatorServicer_to_server(desk, parts.server)
     await group.start(parts, settings, tree)
-    keeper = orders.Orders(parts.node, parts.routers, counters)
+    keeper = orders.EngineReconciler(parts.node, parts.routers, counters)
     tree.task('orders', keeper.run)
     if settings.seed:
         text = pathlib.Path(settings.seed).read_text(encoding='utf-8')
--- a/src/honeyport/control/deltas.py
+++ b/src/honeyport/control/deltas.py
@@ -55,11 +55,11 @@
         """The latest state; not to be changed."""
         return self._kept.get(self._number, {})
 
-    def knows(self, number: int) -> bool:
+    def has(self, number: int) -> bool:
         """Whether a change can start from a state."""
         return number in self._kept
 
-    def take(self, number: int, found: dict[str, V]) -> None:
+    def append(self, number: int, found: dict[str, V]) -> None:
         """Take a new state.
 
         :param number: above those of all states before
@@ -70,7 +70,7 @@
             self._kept.popitem(last=False)
         self._messages.clear()
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Forget all states: no change can start from them any more."""
         self._kept.clear()
         self._messages.clear()
--- a/src/honeyport/control/evacuations.py
+++ b/src/honeyport/control/evacuations.py
@@ -13,7 +13,7 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 
-class Desk:
+class Evacuations:
     """Takes orders about failure domains on one control replica."""
 
     def __init__(self, node: replica.Replica) -> None:
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -35,20 +35,20 @@
     """
 
     member: pb.Member
-    expires: float
-    heard: float
-    as_of: float = float('-inf')
+    lease_expires_at: float
+    last_report_at: float
+    written_after: float = float('-inf')
     config_version: int = 0
     view: int = 0
     loads: dict[str, pb.PoolLoad] = attrs.field(factory=dict)
     report_number: int = 0
-    counted: int = 0
+    counted_report_number: int = 0
     residuals: dict[str, int] = attrs.field(factory=dict)
     down: frozenset[str] = frozenset()
     resting: frozenset[str] = frozenset()
     silent: bool = False
     replica: str = ''
-    reach: pb.Member = attrs.field(factory=pb.Member)
+    advertised_member: pb.Member = attrs.field(factory=pb.Member)
     has_view: bool = True
 
     @property
@@ -72,14 +72,14 @@
         self,
         term: int,
         stable_at: float,
-        lists: listings.Listings | None = None,
+        lists: listings.InstanceLists | None = None,
     ) -> None:
         self._stable_at = stable_at
         self._routers: dict[str, Router] = {}
         self._base_view = term << _TERM_SHIFT
         self._view = pb.View(number=self._base_view)
         self._listed: dict[str, str] = {}
-        self._lists = lists or listings.Listings()
+        self._lists = lists or listings.InstanceLists()
         self._loads = loads.Loads(self._lists)
         self._domains_seen: set[str] = set()
         self._reach = reach.Reach()
@@ -104,19 +104,19 @@
         """All routers whose lease stands, by name."""
         return [self._routers[name] for name in sorted(self._routers)]
 
-    def present(self) -> dict[str, pb.Member]:
+    def reachable_members(self) -> dict[str, pb.Member]:
         """Return the routers that callers may be sent to, by name.
 
         Unlike the view, this does not wait for the leases of a former
         leader: nobody owns anything by it.
         """
         return {
-            router.member.router: router.reach
+            router.member.router: router.advertised_member
             for router in self.routers
             if not router.silent and not router.member.leaving
         }
 
-    def departing(self) -> tuple[str, ...]:
+    def leaving_names(self) -> tuple[str, ...]:
         """Return the names of those that leave in an orderly way."""
         return tuple(
             router.member.router
@@ -124,7 +124,7 @@
             if router.member.leaving
         )
 
-    def replicas(self) -> dict[str, str]:
+    def attached_replicas(self) -> dict[str, str]:
         """Return the control replicas beside routers that are here.
 
         :returns: the address of each and its failure domain
@@ -135,12 +135,12 @@
             if router.replica and not router.silent
         }
 
-    def alive(self, router: str, incarnation: str) -> bool:
+    def is_alive(self, router: str, incarnation: str) -> bool:
         """Whether this incarnation of a router holds a lease."""
         found = self._routers.get(router)
         return found is not None and found.member.incarnation == incarnation
 
-    def greet(self, hello: pb.Hello, now: float, lease_s: float) -> Router:
+    def register(self, hello: pb.Hello, now: float, lease_s: float) -> Router:
         """Take up a router's session."""
         member = pb.Member(
             router=hello.router,
@@ -156,7 +156,7 @@
             config_version=hello.config_version,
             view=hello.view,
             replica=hello.replica,
-            reach=pb.Member(
+            advertised_member=pb.Member(
                 router=hello.router,
                 domain=hello.domain,
                 address=hello.address,
@@ -167,14 +167,14 @@
         self._domains_seen.add(hello.domain)
         return router
 
-    def report(
+    def apply_report(
         self, router: Router, report: pb.Report, now: float, lease_s: float
     ) -> None:
         """Take a report; it renews the lease."""
-        router.expires = max(router.expires, now + lease_s)
-        router.heard = now
+        router.lease_expires_at = max(router.lease_expires_at, now + lease_s)
+        router.last_report_at = now
         router.report_number = report.number
-        router.as_of = report.stamp / _STAMPS_A_S or float('-inf')
+        router.written_after = report.stamp / _STAMPS_A_S or float('-inf')
         router.silent = False
         router.config_version = report.config_version
         router.view = report.view
@@ -192,33 +192,33 @@
         """Return a time in the form in which reports bring it back."""
         return int(now * _STAMPS_A_S)
 
-    def holds(self, router: Router) -> bool:
+    def has_lease(self, router: Router) -> bool:
         """Whether this session's router still has its lease."""
         return self._routers.get(router.member.router) is router
 
-    def leave(self, router: Router) -> None:
+    def remove(self, router: Router) -> None:
         """Forget a router that has finished its work."""
-        if self.holds(router):
+        if self.has_lease(router):
             del self._routers[router.member.router]
 
-    def miss(self, router: Router) -> None:
+    def mark_silent(self, router: Router) -> None:
         """Note that a router's stream ended though it did not leave.
 
         Its lease stands, so it keeps its engines; callers are no longer
         sent there.
         """
-        if self.holds(router) and not router.silent:
+        if self.has_lease(router) and not router.silent:
             router.silent = True
             logs.emit(events.ROUTER_SILENT, router=router.member.router)
 
-    def list_instances(self, listed: dict[str, str]) -> None:
+    def set_platform_states(self, listed: dict[str, str]) -> None:
         """Take what the platform's instance list says."""
         self._listed = listed
 
     def refresh(self, now: float) -> bool:
         """Drop lapsed routers; return whether there is a new view."""
         for name, router in list(self._routers.items()):
-            if router.expires <= now:
+            if router.lease_expires_at <= now:
                 logs.emit(events.ROUTER_EXPIRED, router=name)
                 del self._routers[name]
         if now < self._stable_at:
@@ -232,7 +232,7 @@
         logs.emit(events.VIEW_CHANGED, view=view.number, routers=len(members))
         return True
 
-    def settled(self) -> int:
+    def settled_view(self) -> int:
         """Return the highest view that every router with a lease has."""
         if not self.has_view:
             return 0
@@ -248,7 +248,7 @@
             default=0,
         )
 
-    def summarize(self, now: float, fresh_s: float) -> None:
+    def update_loads(self, now: float, fresh_s: float) -> None:
         """Add up the reports; :attr:`loads` then tells the routers.
 
         A load from too long ago counts as none: it must not raise the mean
@@ -261,22 +261,22 @@
         running: collections.Counter[str] = collections.Counter()
         down: set[str] = set()
         for router in self._routers.values():
-            if router.heard < now - fresh_s:
-                self.miss(router)
+            if router.last_report_at < now - fresh_s:
+                self.mark_silent(router)
             running.update(router.residuals)
             if router.has_view:  # as the steward, it alone knows
                 down.update(router.down)
-            router.counted = router.report_number
-            if router.as_of >= now - fresh_s:
+            router.counted_report_number = router.report_number
+            if router.written_after >= now - fresh_s:
                 totals.update(router.demand)
         leaving = [
             name for name, state in self._listed.items() if state == 'leaving'
         ]
-        self._loads.take(
-            loads.Sum(
+        self._loads.update(
+            loads.LoadTotals(
                 totals=dict(totals),
                 codes=_codes(running, self._unreachable(now)),
-                settled=self.settled(),
+                settled=self.settled_view(),
                 settled_version=self.settled_version(),
                 down=tuple(sorted(down)),
                 leaving=tuple(sorted(leaving)),
--- a/src/honeyport/control/instances.py
+++ b/src/honeyport/control/instances.py
@@ -43,4 +43,4 @@
                 listed = json.loads(response.body)
             except (OSError, httpclient.HTTPError, ValueError):
                 continue
-            self._sessions.fleet.list_instances(listed)
+            self._sessions.fleet.set_platform_states(listed)
--- a/src/honeyport/control/listings.py
+++ b/src/honeyport/control/listings.py
@@ -9,7 +9,7 @@
 _KEPT = 16
 
 
-class Listings:
+class InstanceLists:
     """The latest lists; soft state of the leader.
 
     A list that was read is published at the next tick: what goes out between
@@ -52,7 +52,7 @@
         """The failure domain of each instance in the latest list."""
         return self._domains
 
-    def take(self, number: int, latest: list[pb.Instance]) -> None:
+    def replace(self, number: int, latest: list[pb.Instance]) -> None:
         """Take a new list, by identifier; its number is above all others."""
         self._taken = (number, latest)
 
@@ -72,7 +72,7 @@
             for one in latest
         ]
         by_id = {one.id: one for one in self._latest}
-        self._history.take(number, by_id)
+        self._history.append(number, by_id)
         self._digests = b''
         self._from_others.clear()
         self._domains = {one.id: one.domain for one in self._latest}
@@ -86,7 +86,7 @@
         :param number: of the list that the router has; 0 if it has none
         :param digests: of that list, where another leader may have sent it
         """
-        if self._history.knows(number) or not (number and digests):
+        if self._history.has(number) or not (number and digests):
             return self._history.message(number)
         key = (number, digests)
         if key not in self._from_others:
--- a/src/honeyport/control/loads.py
+++ b/src/honeyport/control/loads.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Sum:
+class LoadTotals:
     """The reports of all routers, added up.
 
     :ivar totals: what runs or waits, by service
@@ -44,10 +44,10 @@
     :param lists: the lists of instances that the routers have
     """
 
-    def __init__(self, lists: listings.Listings) -> None:
+    def __init__(self, lists: listings.InstanceLists) -> None:
         self._lists = lists
         self._list_number = 0
-        self._latest: Sum | None = None
+        self._latest: LoadTotals | None = None
         self._history: deltas.History[int, pb.Loads] = deltas.History(
             _KEPT, self._make
         )
@@ -57,7 +57,7 @@
         """Counts the sums that differ from the one before."""
         return self._history.number
 
-    def take(self, found: Sum) -> None:
+    def update(self, found: LoadTotals) -> None:
         """Take a new sum, if it differs.
 
         With a new list of instances the same ones have other indexes, and
@@ -65,11 +65,11 @@
         """
         if self._lists.number != self._list_number:
             self._list_number = self._lists.number
-            self._history.forget()
+            self._history.clear()
         elif found == self._latest:
             return
         self._latest = found
-        self._history.take(self._history.number + 1, found.codes)
+        self._history.append(self._history.number + 1, found.codes)
 
     def message(self, base: int) -> pb.Loads:
         """Return what brings a router to the latest sum.
--- a/src/honeyport/control/machine.py
+++ b/src/honeyport/control/machine.py
@@ -165,11 +165,11 @@
         if command.version <= self._accepted.version:
             return False
         held = self._accepted
-        entries = packed.read_snapshot(command.entries)
+        entries = packed.unpack_snapshot(command.entries)
         # What did not change is shared with the versions before: a leader
         # keeps some, and a large bundle is a megabyte each.
         contents = held.contents.apply(
-            bundle_entries.difference(
+            bundle_entries.diff(
                 held.version, held.entries, command.version, entries
             )
         )
--- a/src/honeyport/control/news.py
+++ b/src/honeyport/control/news.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Told:
+class SyncState:
     """What a router knows, or what there is to know.
 
     :ivar view: the number of the view; 0 before the first
@@ -62,7 +62,7 @@
     leaving: tuple[str, ...]
 
 
-class News:
+class RouterUpdates:
     """The news of one leadership.
 
     :param lists: the lists of instances
@@ -74,7 +74,7 @@
         self,
         node: replica.Replica,
         routers: fleet.Fleet,
-        lists: listings.Listings,
+        lists: listings.InstanceLists,
         held: suspects.Suspects,
         pace: pacing.Pace,
     ) -> None:
@@ -83,31 +83,31 @@
         self._lists = lists
         self._suspects = held
         self._pace = pace
-        self._versions = versions.Versions()
+        self._versions = versions.BundleVersions()
         self._accepted = node.machine.accepted
         self._presence = _Presence({}, ())
         self._presences: deltas.History[pb.Member, pb.Presence] = (
             deltas.History(_KEPT_PRESENCES, self._make_presence)
         )
         self._presence_due = float('-inf')
-        self._latest = Told()
+        self._latest = SyncState()
 
     @property
-    def latest(self) -> Told:
+    def latest(self) -> SyncState:
         """What there is to tell, as of the latest look."""
         return self._latest
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Find out what there is to tell, once for all streams of a tick."""
         now = asyncio.get_running_loop().time()
         # As of now, like all else: one that is committed between two looks
         # would be sent under the number of the one before.
         self._accepted = self._node.machine.accepted
-        self._versions.keep(self._accepted)
+        self._versions.add(self._accepted)
         self._look_for_routers(now)
         # Before, it would name too few of the routers.
         is_named = now >= self._node.leader_since + _REATTACH_S
-        found = Told(
+        found = SyncState(
             view=self._fleet.view.number if self._fleet.has_view else 0,
             presence=self._presences.number if is_named else 0,
             replicas=tuple(self._node.member_addresses),
@@ -119,19 +119,19 @@
         if found != self._latest:
             self._latest = found
 
-    def known_to(self, hello: pb.Hello) -> Told:
+    def initial_state(self, hello: pb.Hello) -> SyncState:
         """Return what a router knows that has just attached."""
         # Where neither side holds a request back, there is nothing to tell.
-        same = not hello.suspects and not self._suspects.shown
-        return Told(
+        same = not hello.suspects and not self._suspects.reported
+        return SyncState(
             version=hello.config_version if self._knows(hello) else 0,
             suspects=self._suspects.number if same else 0,
             instances=hello.instances,
         )
 
-    def items(
-        self, told: Told, hello: pb.Hello
-    ) -> tuple[list[pb.ControlItem], Told]:
+    def items_since(
+        self, told: SyncState, hello: pb.Hello
+    ) -> tuple[list[pb.ControlItem], SyncState]:
         """Return what brings a router from what it knows to the latest.
 
         What holds requests or instances back stands first: with a
@@ -159,7 +159,7 @@
         return items, rest
 
     def _small_items(
-        self, told: Told, hello: pb.Hello
+        self, told: SyncState, hello: pb.Hello
     ) -> list[pb.ControlItem]:
         news = self._latest
         items = []
@@ -181,7 +181,7 @@
         return items
 
     def _large(
-        self, told: Told, hello: pb.Hello
+        self, told: SyncState, hello: pb.Hello
     ) -> dict[str, pb.InstanceList | pb.Config]:
         """Return the messages that may be large, by the kind of item."""
         news = self._latest
@@ -200,18 +200,20 @@
         """Whether the router holds a version that deltas can start from."""
         history = self._node.machine.history
         same = history.get(hello.config_version) == hello.config_digest
-        return same and self._versions.knows(hello.config_version)
+        return same and self._versions.has(hello.config_version)
 
     def _look_for_routers(self, now: float) -> None:
         if now < self._presence_due:
             return
-        found = _Presence(self._fleet.present(), self._fleet.departing())
+        found = _Presence(
+            self._fleet.reachable_members(), self._fleet.leaving_names()
+        )
         if self._presences.number and found == self._presence:
             return
         if self._presences.number:
             self._presence_due = now + _PRESENCE_S
         self._presence = found
-        self._presences.take(self._presences.number + 1, found.members)
+        self._presences.append(self._presences.number + 1, found.members)
 
     def _make_presence(self, change: deltas.Change[pb.Member]) -> pb.Presence:
         return pb.Presence(
--- a/src/honeyport/control/operators.py
+++ b/src/honeyport/control/operators.py
@@ -17,7 +17,7 @@
 from honeyport.wire import honeyport_pb2_grpc as rpc
 
 
-class Operators(rpc.OperatorServicer):
+class OperatorService(rpc.OperatorServicer):
     """Bundles in, status out.
 
     :param genesis: who may sign the first bundle
@@ -32,7 +32,7 @@
         self._node = node
         self._sessions = routers
         self._genesis = genesis
-        self._evacuations = evacuations.Desk(node)
+        self._evacuations = evacuations.Evacuations(node)
 
     async def Submit(
         self, request: pb.SubmitRequest, context: grpc.aio.ServicerContext
@@ -92,7 +92,7 @@
             return receipt
         signing.check(signed)
         signing.verify(signed, self._signers())
-        delta = bundle_entries.difference(
+        delta = bundle_entries.diff(
             accepted.version, accepted.entries, signed.version, signed.entries
         )
         command = pb.AcceptBundle(
@@ -186,8 +186,8 @@
                 member=router.member,
                 config_version=router.config_version,
                 view=router.view,
-                lease_left_s=router.expires - now,
-                silent_s=now - router.heard,
+                lease_left_s=router.lease_expires_at - now,
+                silent_s=now - router.last_report_at,
                 loads=router.loads.values(),
             )
         matched = self._node.match_indexes()
--- a/src/honeyport/control/orders.py
+++ b/src/honeyport/control/orders.py
@@ -60,7 +60,7 @@
         )
 
 
-class Orders:
+class EngineReconciler:
     """Keeps all engines as the bundle wants them."""
 
     def __init__(
--- a/src/honeyport/control/replacement.py
+++ b/src/honeyport/control/replacement.py
@@ -17,7 +17,7 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 
-class Desk:
+class Replacements:
     """Takes and shows whole configurations on one control replica."""
 
     def __init__(self, node: replica.Replica) -> None:
@@ -37,7 +37,7 @@
         if version <= held:
             logs.emit(events.REPLACEMENT_OVERTAKEN, version=version, has=held)
             return
-        entries = bundle_entries.split(bundle)
+        entries = bundle_entries.to_entries(bundle)
         await self._node.propose(
             pb.ReplaceBundle(
                 version=version,
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -48,9 +48,9 @@
     router: fleet.Router
     outbox: outbox.Outbox[pb.ControlItem]
     hello: pb.Hello
-    told: news.Told
-    sent_loads: int = 0
-    wants_loads: bool = False
+    sent_state: news.SyncState
+    sent_loads_number: int = 0
+    loads_requested: bool = False
 
 
 @attrs.frozen
@@ -75,11 +75,11 @@
         self._pace = pacing.link(bandwidth_mbps)
         self._metrics = counters
         self._sessions: dict[str, Session] = {}
-        self._lists = listings.Listings()
+        self._lists = listings.InstanceLists()
         self._fleet = fleet.Fleet(0, 0.0)
         self._suspects = suspects.Suspects(
             node,
-            lambda router, run: self._fleet.alive(router, run),
+            lambda router, run: self._fleet.is_alive(router, run),
             counters,
         )
         self._term = 0
@@ -91,7 +91,7 @@
         counters.gauge('control_sessions', lambda: len(self._sessions))
         counters.gauge('control_claims', lambda: len(node.machine.claims))
 
-    def follow(self, lists: listings.Listings) -> None:
+    def use_instance_lists(self, lists: listings.InstanceLists) -> None:
         """Send the routers the latest of these lists."""
         self._lists = lists
 
@@ -117,7 +117,7 @@
         if not accepted.version:
             return None
         if self._bundle is None or self._bundle.version != accepted.version:
-            self._bundle = bundle_entries.join(
+            self._bundle = bundle_entries.from_entries(
                 accepted.version, accepted.entries
             )
         return self._bundle
@@ -205,11 +205,11 @@
         self._term = self._node.term
         stable_at = self._node.leader_since + self._lease_s()
         self._fleet = fleet.Fleet(self._term, stable_at, self._lists)
-        self._suspects.begin()
+        self._suspects.start_term()
         self._news = self._make_news()
 
-    def _make_news(self) -> news.News:
-        return news.News(
+    def _make_news(self) -> news.RouterUpdates:
+        return news.RouterUpdates(
             self._node,
             self._fleet,
             self._lists,
@@ -228,8 +228,8 @@
         former = self._sessions.pop(hello.router, None)
         if former is not None:
             former.outbox.close()
-        router = self._fleet.greet(hello, _now(), self._lease_s())
-        told = self._news.known_to(hello)
+        router = self._fleet.register(hello, _now(), self._lease_s())
+        told = self._news.initial_state(hello)
         session = Session(router, outbox.Outbox(), hello, told)
         self._sessions[hello.router] = session
         return session
@@ -248,36 +248,38 @@
                 for item in batch.items:
                     self._take(session, item)
         if session.router.member.leaving:
-            self._fleet.leave(session.router)
+            self._fleet.remove(session.router)
         else:
-            self._fleet.miss(session.router)
+            self._fleet.mark_silent(session.router)
         session.outbox.close()
 
     def _take(self, session: Session, item: pb.RouterItem) -> None:
         if item.HasField('report'):
-            self._report(session, item.report)
+            self._handle_report(session, item.report)
         elif item.HasField('claim'):
             self._claims.put(_Waiting(session, item.claim))
         elif self._node.leads:
-            answer = self._suspects.take(session.router.member, item)
+            answer = self._suspects.handle_item(session.router.member, item)
             if answer is not None:
                 session.outbox.put(answer)
 
-    def _report(self, session: Session, report: pb.Report) -> None:
+    def _handle_report(self, session: Session, report: pb.Report) -> None:
         """Answer a report, if we are still in charge."""
         self._metrics.count('control_reports')
         if not self._node.leads:
             return
-        if not self._fleet.holds(session.router):
+        if not self._fleet.has_lease(session.router):
             session.outbox.close()  # it lapsed; it has to attach anew
             return
-        self._fleet.report(session.router, report, _now(), self._lease_s())
+        self._fleet.apply_report(
+            session.router, report, _now(), self._lease_s()
+        )
         answer = pb.ReportAnswer(
             number=report.number,
             lease_ms=int(self._lease_s() * 1000),
             stamp=self._fleet.stamp(_now()),
         )
-        session.wants_loads = True
+        session.loads_requested = True
         session.outbox.put(pb.ControlItem(answer=answer))
 
     def _take_items(self, session: Session) -> list[pb.ControlItem]:
@@ -290,37 +292,39 @@
         if session.outbox.closed:
             return waiting
         items = []
-        if session.told is not self._news.latest:
-            items, session.told = self._news.items(session.told, session.hello)
+        if session.sent_state is not self._news.latest:
+            items, session.sent_state = self._news.items_since(
+                session.sent_state, session.hello
+            )
         loads = self._fleet.loads
         # Loads name instances by their indexes in the latest list.
-        has_list = session.told.instances == self._lists.number
+        has_list = session.sent_state.instances == self._lists.number
         if (
-            session.wants_loads
+            session.loads_requested
             and has_list
-            and loads.number != session.sent_loads
+            and loads.number != session.sent_loads_number
         ):
-            message = loads.message(session.sent_loads)
-            session.sent_loads = loads.number
+            message = loads.message(session.sent_loads_number)
+            session.sent_loads_number = loads.number
             items.append(pb.ControlItem(loads=message))
-        session.wants_loads = False
+        session.loads_requested = False
         for item in waiting:
             if item.HasField('answer'):
                 # The router takes this report of its own off the loads, which
                 # are those of now, and not of when it was answered.
-                item.answer.counted = session.router.counted
+                item.answer.counted = session.router.counted_report_number
         return items + waiting
 
     def _tick(self) -> None:
         self._lists.publish()
         self._fleet.refresh(_now())
-        self._fleet.summarize(_now(), self._fresh_s())
+        self._fleet.update_loads(_now(), self._fresh_s())
         self._suspects.refresh()
-        self._news.look()
+        self._news.refresh()
         for session in self._sessions.values():
             # By identity: with 200 streams, comparing what each was told
             # with all that there is took a fifth of a core.
-            if session.told is not self._news.latest:
+            if session.sent_state is not self._news.latest:
                 session.outbox.wake()
         version = self._node.machine.accepted.version
         if version > self._in_force and self.in_force:
@@ -348,7 +352,7 @@
         holder = self._node.machine.claims.holder(key)
         router, _, rest = holder.partition('/')
         incarnation, _, _ = rest.partition('/')
-        if self._fleet.alive(router, incarnation):
+        if self._fleet.is_alive(router, incarnation):
             return _State.RUNNING
         return _State.UNKNOWN
 
--- a/src/honeyport/control/succession.py
+++ b/src/honeyport/control/succession.py
@@ -75,7 +75,7 @@
         It comes from the failure domain that has the fewest members, so
         that losing a domain loses as few votes as can be.
         """
-        found = self._sessions.fleet.replicas()
+        found = self._sessions.fleet.attached_replicas()
         known = {one.name for one in members}
         domains = collections.Counter(
             domain for name, domain in found.items() if name in known
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -62,18 +62,18 @@
         return self._number
 
     @property
-    def shown(self) -> list[suspicion.Suspect]:
+    def reported(self) -> list[suspicion.Suspect]:
         """The requests that gateways are told of."""
         return self._shown
 
-    def begin(self) -> None:
+    def start_term(self) -> None:
         """Begin a leadership with what the log has."""
         noted = self._node.machine.suspects
         self._register = suspicion.EndRegister(noted, _now())
         self._is_unsaved = False
         self._show()
 
-    def take(
+    def handle_item(
         self, router: pb.Member, item: pb.RouterItem
     ) -> pb.ControlItem | None:
         """Take what a router says of requests; return an answer, if due."""
@@ -170,7 +170,7 @@
         """Return the instances that ended under each that is shown."""
         return machine.suspect_records(self._ended())
 
-    async def record(self) -> None:
+    async def persist(self) -> None:
         """Write requests under several ends to the log while we lead."""
         while True:
             await asyncio.sleep(_RECORD_S)
--- a/src/honeyport/control/versions.py
+++ b/src/honeyport/control/versions.py
@@ -15,7 +15,7 @@
 _KEPT_VERSIONS = 16
 
 
-class Versions:
+class BundleVersions:
     """The recent versions, and the messages that lead to the newest one."""
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._messages: dict[int, pb.Config] = {}
         self._newest = 0
 
-    def keep(self, accepted: machine.Accepted) -> None:
+    def add(self, accepted: machine.Accepted) -> None:
         """Remember a version, so that deltas can start from it."""
         if accepted.version in self._kept:
             return
@@ -31,7 +31,7 @@
         while len(self._kept) > _KEPT_VERSIONS:
             del self._kept[next(iter(self._kept))]
 
-    def knows(self, version: int) -> bool:
+    def has(self, version: int) -> bool:
         """Whether a delta can start from a version."""
         return version in self._kept
 
@@ -53,7 +53,7 @@
         if old is None:
             config.snapshot = packed.pack_snapshot(accepted.entries)
             return config
-        delta = bundle_entries.difference(
+        delta = bundle_entries.diff(
             base, old, accepted.version, accepted.entries
         )
         config.base = base
--- a/src/honeyport/local.py
+++ b/src/honeyport/local.py
@@ -83,7 +83,7 @@
         roles.Service(name='field-app-1', domain=_DOMAIN, listen=site.service),
         tree,
     )
-    public = signing.new_key(str(folder), 'local')
+    public = signing.write_new_key(str(folder), 'local')
     signed = _bundle(site, public)
     signed = signing.sign(signed, str(folder / 'local.pem'))
     seed = folder / 'bundle.json'
@@ -173,7 +173,7 @@
         accounts={_ACCOUNT: model.Account()},
         timing=model.Timing(report_ms=100, lease_ms=1000),
     )
-    return signing.Signed(1, entries.split(bundle), {})
+    return signing.Signed(1, entries.to_entries(bundle), {})
 
 
 def _text(stream: bytes) -> str:
--- a/src/honeyport/operators.py
+++ b/src/honeyport/operators.py
@@ -30,7 +30,7 @@
     """Sign a bundle in YAML, or add a signature to a signed one."""
     if path.endswith(('.yaml', '.yml')):
         bundle = files.load(path)
-        signed = signing.Signed(bundle.version, entries.split(bundle), {})
+        signed = signing.Signed(bundle.version, entries.to_entries(bundle), {})
     else:
         signed = _read(path)
     signed = signing.sign(signed, key)
@@ -42,11 +42,11 @@
     """Return what a bundle would change, a line for each entry."""
     bundle = files.load(path)
     answer = _status(control)
-    change = entries.difference(
+    change = entries.diff(
         answer.version,
         dict(answer.entries),
         bundle.version,
-        entries.split(bundle),
+        entries.to_entries(bundle),
     )
     lines = [f'version {change.base} -> {change.version}']
     for key in sorted(change.put):
--- a/src/honeyport/platform/replica.py
+++ b/src/honeyport/platform/replica.py
@@ -22,8 +22,8 @@
 class Desks:
     """Where operators ask this replica, by what they ask."""
 
-    configurations: replacement.Desk
-    evacuations: evacuations.Desk
+    configurations: replacement.Replacements
+    evacuations: evacuations.Evacuations
 
 
 async def start(
@@ -52,12 +52,12 @@
         listing.source(told.backend_list, tuple(told.regions)),
         counters,
     )
-    parts.routers.follow(listed.lists)
+    parts.routers.use_instance_lists(listed.lists)
     gateway.register(parts.server)
     await group.start(parts, settings, tree)
     tree.task('instances', listed.run)
-    tree.task('places', listed.record)
+    tree.task('places', listed.persist_places)
     return Desks(
-        configurations=replacement.Desk(parts.node),
-        evacuations=evacuations.Desk(parts.node),
+        configurations=replacement.Replacements(parts.node),
+        evacuations=evacuations.Evacuations(parts.node),
     )
--- a/src/honeyport/router/claims.py
+++ b/src/honeyport/router/claims.py
@@ -180,7 +180,7 @@
 
     :raises errors.KeyInvalid: if it is not a UUIDv7, or from the future
     """
-    issued_s = claims.issue_time(key)
+    issued_s = claims.issue_time_s(key)
     if issued_s is None:
         raise errors.KeyInvalid(f'{key!r} is not a UUIDv7')
     if issued_s > now_s + _FUTURE_S:
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -256,11 +256,11 @@
             )
             return False
         if config.snapshot:
-            entries = packed.read_snapshot(config.snapshot)
+            entries = packed.unpack_snapshot(config.snapshot)
             contents = bundle_entries.EntrySet(entries)
             changed: collections.abc.Iterable[str] = entries
         else:
-            delta = packed.read_delta(config)
+            delta = packed.unpack_delta(config)
             contents = self._contents.apply(delta)
             changed = (*delta.put, *delta.removed)
         follows = config.snapshot or config.base == self._version
@@ -271,11 +271,11 @@
             )
         self._contents = contents
         if config.snapshot or self._bundle is None:
-            self._bundle = bundle_entries.join(
+            self._bundle = bundle_entries.from_entries(
                 config.version, contents.entries
             )
         else:
-            self._bundle = bundle_entries.rejoin(self._bundle, delta)
+            self._bundle = bundle_entries.apply_delta(self._bundle, delta)
         self._version = config.version
         self._digest = config.digest
         if config.snapshot or any(map(_moves_work, changed)):
