--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -3,7 +3,7 @@
 import behave
 
 from honeyport.control import fleet
-from honeyport.control import listings
+from honeyport.control import instance_lists
 from honeyport.router import fleetstate
 from honeyport.wire import honeyport_pb2 as pb
 
@@ -22,7 +22,7 @@
             pb.Instance(id=name, domain=domain)
             for name, domain in zip(_SERVERS, _DOMAINS, strict=False)
         ]
-        lists = listings.InstanceLists()
+        lists = instance_lists.InstanceLists()
         if hello:  # of those who read the list of instances
             lists.replace(1, listed)
             lists.publish()
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -10,7 +10,7 @@
 from honeyport.bundle import entries as bundle_entries
 from honeyport.bundle import model
 from honeyport.bundle import packed
-from honeyport.control import listings
+from honeyport.control import instance_lists
 from honeyport.control import sessions
 from honeyport.router import fleetstate
 from honeyport.telemetry import metrics
@@ -77,7 +77,7 @@
         self.loop = simulation.VirtualLoop()
         self.node = leading.LeaderStub()
         self.node.term = term
-        self.lists = listings.InstanceLists()
+        self.lists = instance_lists.InstanceLists()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
         self.streams.use_instance_lists(self.lists)
         self.run(self._begin())
--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -13,7 +13,7 @@
 import asyncio
 import collections.abc
 
-from honeyport.control import listings
+from honeyport.control import instance_lists
 from honeyport.control import machine
 from honeyport.control import replica
 from honeyport import errors
@@ -62,7 +62,7 @@
         self._refusals: tuple[readings.Refusal, ...] = ()
         self._assigner: places.Assigner | None = None
         self._is_unsaved = False
-        self._lists = listings.InstanceLists()
+        self._lists = instance_lists.InstanceLists()
         self._known: list[pb.Instance] = []
         self._latest: list[pb.Instance] = []
         self._number = 0
@@ -71,7 +71,7 @@
         self._readable = True
 
     @property
-    def lists(self) -> listings.InstanceLists:
+    def lists(self) -> instance_lists.InstanceLists:
         """The lists of this leadership."""
         return self._lists
 
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from honeyport.control import listings
+from honeyport.control import instance_lists
 from honeyport.control import loads
 from honeyport.policy import reach
 from honeyport.telemetry import events
@@ -72,14 +72,14 @@
         self,
         term: int,
         stable_at: float,
-        lists: listings.InstanceLists | None = None,
+        lists: instance_lists.InstanceLists | None = None,
     ) -> None:
         self._stable_at = stable_at
         self._routers: dict[str, Router] = {}
         self._base_view = term << _TERM_SHIFT
         self._view = pb.View(number=self._base_view)
         self._listed: dict[str, str] = {}
-        self._lists = lists or listings.InstanceLists()
+        self._lists = lists or instance_lists.InstanceLists()
         self._loads = loads.Loads(self._lists)
         self._domains_seen: set[str] = set()
         self._reach = reach.Reach()
--- a/src/honeyport/control/loads.py
+++ b/src/honeyport/control/loads.py
@@ -8,7 +8,7 @@
 import attrs
 
 from honeyport.control import deltas
-from honeyport.control import listings
+from honeyport.control import instance_lists
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import instance_load
 
@@ -44,7 +44,7 @@
     :param lists: the lists of instances that the routers have
     """
 
-    def __init__(self, lists: listings.InstanceLists) -> None:
+    def __init__(self, lists: instance_lists.InstanceLists) -> None:
         self._lists = lists
         self._list_number = 0
         self._latest: LoadTotals | None = None
--- a/src/honeyport/control/news.py
+++ b/src/honeyport/control/router_updates.py
@@ -11,7 +11,7 @@
 
 from honeyport.control import deltas
 from honeyport.control import fleet
-from honeyport.control import listings
+from honeyport.control import instance_lists
 from honeyport.control import replica
 from honeyport.control import suspects
 from honeyport.control import versions
@@ -74,7 +74,7 @@
         self,
         node: replica.Replica,
         routers: fleet.Fleet,
-        lists: listings.InstanceLists,
+        lists: instance_lists.InstanceLists,
         held: suspects.Suspects,
         pace: pacing.Pace,
     ) -> None:
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -15,9 +15,9 @@
 from honeyport.bundle import entries as bundle_entries
 from honeyport.bundle import model
 from honeyport.control import fleet
-from honeyport.control import listings
-from honeyport.control import news
+from honeyport.control import instance_lists
 from honeyport.control import replica
+from honeyport.control import router_updates
 from honeyport.control import suspects
 from honeyport import errors
 from honeyport.policy import pacing
@@ -48,7 +48,7 @@
     router: fleet.Router
     outbox: outbox.Outbox[pb.ControlItem]
     hello: pb.Hello
-    sent_state: news.SyncState
+    sent_state: router_updates.SyncState
     sent_loads_number: int = 0
     loads_requested: bool = False
 
@@ -75,7 +75,7 @@
         self._pace = pacing.link(bandwidth_mbps)
         self._metrics = counters
         self._sessions: dict[str, Session] = {}
-        self._lists = listings.InstanceLists()
+        self._lists = instance_lists.InstanceLists()
         self._fleet = fleet.Fleet(0, 0.0)
         self._suspects = suspects.Suspects(
             node,
@@ -91,7 +91,7 @@
         counters.gauge('control_sessions', lambda: len(self._sessions))
         counters.gauge('control_claims', lambda: len(node.machine.claims))
 
-    def use_instance_lists(self, lists: listings.InstanceLists) -> None:
+    def use_instance_lists(self, lists: instance_lists.InstanceLists) -> None:
         """Send the routers the latest of these lists."""
         self._lists = lists
 
@@ -208,8 +208,8 @@
         self._suspects.start_term()
         self._news = self._make_news()
 
-    def _make_news(self) -> news.RouterUpdates:
-        return news.RouterUpdates(
+    def _make_news(self) -> router_updates.RouterUpdates:
+        return router_updates.RouterUpdates(
             self._node,
             self._fleet,
             self._lists,
