--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -1,7 +1,7 @@
-"""What this gateway knows of the instances, for :mod:`policy.placement`.
+"""Load balancing of a gateway: instance state for :mod:`policy.placement`.
 
-It counts what runs where, takes the lists and counts that control sends,
-and keeps what it saw of the instances' health and cached prefixes.
+Tracks in-flight requests, the instance list and the load counts from the
+control plane, and the observed health and cached prefixes of instances.
 """
 
 import asyncio
@@ -23,25 +23,25 @@
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
 
-# When an instance may be there again that was not, in seconds: the first
-# pause after a failure.
-_COME_BACK_S = 0.5
-# When a gateway may send to a cold instance again, in seconds: another one
-# may at once, so that this is about the way to there.
-_ELSEWHERE_S = 0.1
+# Retry-After without any instance to try, in seconds: the first pause after
+# a failure.
+_NO_INSTANCE_RETRY_S = 0.5
+# Retry-After while only cold instances at their limit are left, in seconds:
+# another gateway may have capacity at once.
+_ALL_COLD_RETRY_S = 0.1
 
-Domains = collections.abc.Set[str]
+NameSet = collections.abc.Set[str]
 Instances = collections.abc.Iterable[placement.Instance]
-Judge = collections.abc.Callable[[placement.Instance], bool]
+Predicate = collections.abc.Callable[[placement.Instance], bool]
 
 
 class Balancer:
-    """Counts what runs where, and chooses.
+    """Tracks the load of instances and chooses one for each request.
 
-    :param name: of our gateway
-    :param domain: our failure domain
-    :param regions: the region of each failure domain
-    :param asked: how the instances want to be treated
+    :param name: name of this gateway
+    :param domain: failure domain of this gateway
+    :param regions: region of each failure domain
+    :param signals: rests and departures that instances announced
     """
 
     def __init__(
@@ -49,78 +49,83 @@
         name: str,
         domain: str,
         regions: collections.abc.Mapping[str, str],
-        asked: instance_signals.InstanceSignals,
+        signals: instance_signals.InstanceSignals,
     ) -> None:
-        self._wishes = asked
+        self._signals = signals
         self._domain = domain
         self._regions = regions
-        self._evacuated: Domains = frozenset()
-        self._warmth = warmth.Warmth(name)
-        self._number = 0
-        self._services: dict[str, list[placement.Instance]] = {}
+        self._evacuated: NameSet = frozenset()
+        self._cold_start = warmth.Warmth(name)
+        self._list_number = 0
+        self._instances_by_service: dict[str, list[placement.Instance]] = {}
         self._running: collections.Counter[str] = collections.Counter()
         self._health = health.Health()
         self._unreachable: collections.abc.Set[str] = frozenset()
-        self._others: collections.abc.Mapping[str, int] = {}
-        self._others_at = float('-inf')
-        self._stays = stale.Stays()
-        self._holders = prefixes.Holders()
+        self._remote_running: collections.abc.Mapping[str, int] = {}
+        self._remote_counted_at = float('-inf')
+        self._durations = stale.Stays()
+        self._prefix_holders = prefixes.Holders()
         self._leaving_since: dict[str, float] = {}
 
     @property
     def running(self) -> collections.abc.Mapping[str, int]:
-        """Requests of this gateway in flight, by instance."""
+        """In-flight requests of this gateway, by instance id."""
         return self._running
 
     def set_cold_limits(self, tolerances: warmth.Tolerances) -> None:
-        """Take what cold instances tolerate, by service."""
-        self._warmth.tolerate(tolerances)
+        """Set the limits of cold instances, by service."""
+        self._cold_start.tolerate(tolerances)
 
-    def set_evacuated(self, domains: Domains) -> None:
-        """Take the failure domains whose instances get nothing new.
+    def set_evacuated(self, domains: NameSet) -> None:
+        """Set the failure domains whose instances get no new requests.
 
-        The instances of one that is taken back may have turned cold.
+        Instances of a restored domain are treated as cold, since they got
+        no requests meanwhile.
         """
-        ended = self._evacuated - domains
+        restored = self._evacuated - domains
         self._evacuated = domains
-        if not ended:
+        if not restored:
             return
-        for found in self._services.values():
-            for one in found:
-                if one.domain in ended:
-                    self._warmth.turn_cold(one)
+        for instances in self._instances_by_service.values():
+            for instance in instances:
+                if instance.domain in restored:
+                    self._cold_start.turn_cold(instance)
 
     def set_gateways(self, gateways: collections.abc.Collection[str]) -> None:
-        """Take the names of the gateways that callers are sent to."""
-        self._warmth.meet(gateways)
+        """Set the names of the gateways that callers are sent to."""
+        self._cold_start.meet(gateways)
 
     @property
     def unreachable(self) -> list[str]:
-        """The instances that this gateway could not connect to lately."""
+        """Instances that this gateway recently failed to connect to."""
         return self._health.unreachable(_now())
 
     def set_unreachable(self, unreachable: collections.abc.Set[str]) -> None:
-        """Take the instances that several gateways cannot reach."""
+        """Set the instances that several gateways cannot reach."""
         self._unreachable = unreachable
 
     def update(
         self,
         instances: pb.Instances,
-        others: collections.abc.Mapping[str, int],
+        remote_running: collections.abc.Mapping[str, int],
         counted_at: float,
     ) -> set[str] | None:
-        """Take the latest list, and what runs through other gateways.
-
-        :param counted_at: when that was so, as loop time
-        :returns: the instances that may be used, if the list is new
+        """Apply the latest instance list and the load of other gateways.
+
+        :param instances: the instance list
+        :param remote_running: requests in flight through other gateways, by
+            instance id
+        :param counted_at: loop time at which these were counted
+        :returns: ids of the instances that are not leaving, or ``None`` if
+            the list did not change
         """
-        self._others = others
-        self._others_at = counted_at
-        if instances.number == self._number:
+        self._remote_running = remote_running
+        self._remote_counted_at = counted_at
+        if instances.number == self._list_number:
             return None
-        had_list = self._number > 0
-        self._number = instances.number
-        self._services = {}
+        had_list = self._list_number > 0
+        self._list_number = instances.number
+        self._instances_by_service = {}
         for listed in instances.instances:
             instance = placement.Instance(
                 listed.id,
@@ -131,25 +136,27 @@
                 listed.slots,
                 listed.place,
             )
-            self._services.setdefault(listed.service, []).append(instance)
+            self._instances_by_service.setdefault(listed.service, []).append(
+                instance
+            )
             if listed.cold_ms:
-                self._warmth.note_cold(listed.id, listed.cold_ms / 1000)
-        self._warmth.forget_over()
+                self._cold_start.note_cold(listed.id, listed.cold_ms / 1000)
+        self._cold_start.forget_over()
         usable = {
             instance.id
-            for found in self._services.values()
-            for instance in found
+            for group in self._instances_by_service.values()
+            for instance in group
             if not instance.leaving
         }
-        self._note_leaving(_now() if had_list else float('-inf'))
+        self._update_leaving_since(_now() if had_list else float('-inf'))
         self._health.forget_others(usable)
-        present = {one.id for one in instances.instances}
-        self._holders.retain(present)
-        self._wishes.forget_others(present)
-        self._warmth.forget_others(present)
+        listed_ids = {entry.id for entry in instances.instances}
+        self._prefix_holders.retain(listed_ids)
+        self._signals.forget_others(listed_ids)
+        self._cold_start.forget_others(listed_ids)
         logs.emit(
             events.INSTANCES_APPLIED,
-            list_number=self._number,
+            list_number=self._list_number,
             usable=len(usable),
         )
         return usable
@@ -159,112 +166,127 @@
         service: str,
         parts: prefixes.Parts,
         tried: collections.abc.Container[str],
-        regions: Domains | None = None,
+        regions: NameSet | None = None,
     ) -> placement.Choice:
-        """Return the instance that takes a request.
+        """Choose an instance for a request.
 
-        :param parts: the parts of its prompt, if instances cache them
-        :param tried: instances that failed it already
-        :param regions: the only ones in which it may run; ``None`` for any
-        :raises errors.NoInstance: if there is none left
+        :param service: the service that the request is for
+        :param parts: prompt parts, if the instances cache prefixes
+        :param tried: ids of instances that already failed this request
+        :param regions: regions in which it may run; ``None`` for any
+        :raises errors.NoInstance: if no instance can take it now
         """
-        listed = self._services.get(service, ())
-        peers = self._wishes.staying(
-            [one for one in listed if not one.leaving]
+        listed = self._instances_by_service.get(service, ())
+        peers = self._signals.staying(
+            [instance for instance in listed if not instance.leaving]
         )
-        found = self._usable(peers, tried, regions)
-        if not found:
-            last = self._wishes.last_resort(listed)
-            peers = found = self._usable(last, tried, regions)
-        if not found:
+        eligible = self._eligible(peers, tried, regions)
+        if not eligible:
+            fallback = self._signals.last_resort(listed)
+            peers = eligible = self._eligible(fallback, tried, regions)
+        if not eligible:
             raise errors.NoInstance(
-                f'no instance of {service} is left to try',
-                retry_after=_COME_BACK_S,
+                f'no instance of {service} left to try',
+                retry_after=_NO_INSTANCE_RETRY_S,
             )
-        awake = self._wishes.awake(found)
-        if not awake:
-            # Taken all the same, they would turn it away, and the callers
-            # behind it would pay for that with the allowance.
+        not_resting = self._signals.not_resting(eligible)
+        if not not_resting:
+            # A resting instance would reject the request, and each rejection
+            # uses up the retry budget of other requests.
             raise errors.NoInstance(
-                f'all instances of {service} that are left rest',
-                retry_after=self._wishes.come_back_s(found),
+                f'all remaining instances of {service} are resting',
+                retry_after=self._signals.come_back_s(eligible),
             )
-        among = self._among(awake, peers)
-        if not among.preferred:
+        candidates = self._candidates(not_resting, peers)
+        if not candidates.preferred:
             raise errors.NoInstance(
-                f'all instances of {service} that are left are cold',
-                retry_after=_ELSEWHERE_S,
+                f'all remaining instances of {service} are cold',
+                retry_after=_ALL_COLD_RETRY_S,
             )
         counts = stale.Counts(
             own=lambda name: self._running[name],
-            others=lambda name: self._others.get(name, 0),
-            age_s=_now() - self._others_at,
-            stay_s=self._stays.of(service),
+            others=lambda name: self._remote_running.get(name, 0),
+            age_s=_now() - self._remote_counted_at,
+            stay_s=self._durations.of(service),
         )
         if not parts:
             return placement.choose_by_load(
-                among.preferred, counts, self._domain
+                candidates.preferred, counts, self._domain
             )
-        choice = placement.choose_by_prefix(parts, among, counts, self._domain)
-        return self._with_source(service, parts, choice, regions)
+        choice = placement.choose_by_prefix(
+            parts, candidates, counts, self._domain
+        )
+        return self._with_copy_source(service, parts, choice, regions)
 
-    def _usable(
+    def _eligible(
         self,
         instances: Instances,
         tried: collections.abc.Container[str],
-        regions: Domains | None,
+        regions: NameSet | None,
     ) -> list[placement.Instance]:
-        """Return those that a request may be offered to."""
+        """Return the instances that a request may be sent to."""
         return [
-            one
-            for one in instances
-            if one.id not in tried
-            and one.domain not in self._evacuated
-            and self._is_allowed(one, regions)
+            instance
+            for instance in instances
+            if instance.id not in tried
+            and instance.domain not in self._evacuated
+            and self._is_allowed(instance, regions)
         ]
 
-    def _leaves(self, instance: placement.Instance) -> bool:
-        """Whether an instance leaves, by the list or by its own word."""
-        said = self._wishes.leaving_since(instance.id)
-        return instance.leaving or said is not None
+    def _is_leaving(self, instance: placement.Instance) -> bool:
+        """Whether an instance is leaving, by the list or its own headers."""
+        leaving_since = self._signals.leaving_since(instance.id)
+        return instance.leaving or leaving_since is not None
 
-    def left_out(
+    def count_excluded(
         self,
         service: str,
         tried: collections.abc.Container[str],
-        regions: Domains | None,
+        regions: NameSet | None,
     ) -> dict[str, int]:
-        """Return how many instances get no request now, by the reason."""
+        """Count the instances that are excluded from choice, by reason."""
         now = _now()
-        reasons: tuple[tuple[str, Judge], ...] = (
-            ('tried', lambda one: one.id in tried),
-            ('leaving', self._leaves),
-            ('evacuated', lambda one: one.domain in self._evacuated),
-            ('region', lambda one: not self._is_allowed(one, regions)),
-            ('resting', lambda one: self._wishes.rest_left_s(one.id) > 0),
-            ('unreachable', lambda one: one.id in self._unreachable),
-            ('failed', lambda one: self._health.is_avoided(one.id, now)),
-            ('cold', lambda one: self._warmth.is_cold(one, now)),
+        reasons: tuple[tuple[str, Predicate], ...] = (
+            ('tried', lambda instance: instance.id in tried),
+            ('leaving', self._is_leaving),
+            ('evacuated', lambda instance: instance.domain in self._evacuated),
+            (
+                'region',
+                lambda instance: not self._is_allowed(instance, regions),
+            ),
+            (
+                'resting',
+                lambda instance: self._signals.rest_left_s(instance.id) > 0,
+            ),
+            ('unreachable', lambda instance: instance.id in self._unreachable),
+            (
+                'failed',
+                lambda instance: self._health.is_avoided(instance.id, now),
+            ),
+            ('cold', lambda instance: self._cold_start.is_cold(instance, now)),
         )
-        found = collections.Counter(
-            next((name for name, holds in reasons if holds(one)), '')
-            for one in self._services.get(service, ())
+        counts = collections.Counter(
+            next(
+                (reason for reason, applies in reasons if applies(instance)),
+                '',
+            )
+            for instance in self._instances_by_service.get(service, ())
         )
-        del found['']
-        return dict(found)
+        del counts['']
+        return dict(counts)
 
     @contextlib.contextmanager
     def track(
         self, instance: placement.Instance
     ) -> collections.abc.Iterator[None]:
-        """Count a request while it runs on an instance."""
+        """Count a request as in flight on an instance."""
         self._running[instance.id] += 1
-        began = _now()
-        self._warmth.note_sent(instance)
+        started_at = _now()
+        self._cold_start.note_sent(instance)
         try:
             yield
-            # Not where it failed: that took more time, or none at all.
-            self._stays.note(instance.service, _now() - began)
+            # Durations of failed requests are not representative.
+            self._durations.note(instance.service, _now() - started_at)
         finally:
             self._running[instance.id] -= 1
             if not self._running[instance.id]:
@@ -273,11 +295,11 @@
     def record_success(
         self, instance: placement.Instance, parts: prefixes.Parts
     ) -> None:
-        """Note that an instance answered a prompt with these parts."""
+        """Record that an instance answered a prompt with these parts."""
         self._health.succeeded(instance.id)
-        self._wishes.answered(instance.id)
+        self._signals.answered(instance.id)
         for part in prefixes.shared_parts(parts):
-            self._holders.add(part.id, instance.id)
+            self._prefix_holders.add(part.id, instance.id)
 
     def record_failure(
         self,
@@ -286,13 +308,15 @@
         *,
         was_reached: bool = True,
     ) -> None:
-        """Note that an instance cannot be used; it is left alone a while.
+        """Record a failure of an instance and avoid it for a while.
 
-        It may come back under its name and hold nothing: a prefix that it
-        was seen to hold is copied to it again, which costs nothing where it
-        is still there.
+        Its known prefixes are forgotten: it may restart under the same id
+        with an empty cache.
+
+        :param reason: code of the error
+        :param was_reached: whether a connection to it was established
         """
-        self._holders.forget_instance(instance.id)
+        self._prefix_holders.forget_instance(instance.id)
         pause = self._health.failed(
             instance.id, _now(), was_reached=was_reached
         )
@@ -305,103 +329,112 @@
             pause_s=pause.pause_s,
         )
 
-    def _note_leaving(self, since: float) -> None:
-        """Remember since when each instance that leaves does so.
+    def _update_leaving_since(self, since: float) -> None:
+        """Update the time at which each leaving instance began to leave.
 
-        :param since: when those that are new among them began to; long ago
-            for all we know if this is our first list
+        :param since: loop time for instances that were not leaving in the
+            previous list; ``-inf`` for the first list
         """
         self._leaving_since = {
-            one.id: self._leaving_since.get(one.id, since)
-            for found in self._services.values()
-            for one in found
-            if one.leaving
+            instance.id: self._leaving_since.get(instance.id, since)
+            for group in self._instances_by_service.values()
+            for instance in group
+            if instance.leaving
         }
 
     def _is_allowed(
-        self, instance: placement.Instance, regions: Domains | None
+        self, instance: placement.Instance, regions: NameSet | None
     ) -> bool:
-        """Whether a request may run on an instance, by where that is."""
+        """Whether the region of an instance is allowed for a request."""
         if regions is None:
             return True
         return self._regions.get(instance.domain) in regions
 
-    def _among(
+    def _candidates(
         self,
-        found: list[placement.Instance],
+        eligible: list[placement.Instance],
         peers: list[placement.Instance],
     ) -> placement.Candidates:
-        """Return those that may get a request of this gateway now.
+        """Return the candidates for a request of this gateway.
 
-        Cold ones are left alone while others are there that have not failed
-        lately, and have room.
+        Cold instances are a reserve as long as warm ones are healthy.
         """
         now = _now()
         warm: list[placement.Instance] = []
-        cold_ones: list[placement.Instance] = []
-        for one in found:
-            is_cold = self._warmth.is_cold(one, now)
-            (cold_ones if is_cold else warm).append(one)
-        sound = self._sound(warm)
-        spared = [
-            one
-            for one in cold_ones
-            if self._warmth.may_take(one, now, is_last=not sound)
+        cold: list[placement.Instance] = []
+        for instance in eligible:
+            is_cold = self._cold_start.is_cold(instance, now)
+            (cold if is_cold else warm).append(instance)
+        healthy_warm = self._healthy(warm)
+        cold_with_capacity = [
+            instance
+            for instance in cold
+            if self._cold_start.may_take(
+                instance, now, is_last=not healthy_warm
+            )
         ]
-        ready = self._sound(spared)
-        if sound:
-            return placement.Candidates(sound, ready, peers)
-        return placement.Candidates(ready or warm or spared, (), peers)
+        healthy_cold = self._healthy(cold_with_capacity)
+        if healthy_warm:
+            return placement.Candidates(healthy_warm, healthy_cold, peers)
+        return placement.Candidates(
+            healthy_cold or warm or cold_with_capacity, (), peers
+        )
 
-    def _may_be_copied(self, instance: placement.Instance) -> bool:
+    def _may_copy_from(self, instance: placement.Instance) -> bool:
+        """Whether prefixes may be copied from an instance now."""
         now = _now()
-        if self._warmth.is_cold(instance, now):
-            return False  # it holds next to nothing yet
-        listed = self._leaving_since.get(instance.id, now)
-        said = self._wishes.leaving_since(instance.id)
+        if self._cold_start.is_cold(instance, now):
+            return False  # its cache is nearly empty
+        listed_since = self._leaving_since.get(instance.id, now)
+        signalled_since = self._signals.leaving_since(instance.id)
         return placement.can_be_copied_from(
-            now - (listed if said is None else min(said, listed)),
+            now
+            - (
+                listed_since
+                if signalled_since is None
+                else min(signalled_since, listed_since)
+            ),
             is_sound=self._health.is_sound(instance.id)
             and instance.id not in self._unreachable
-            and not self._wishes.rest_left_s(instance.id),
+            and not self._signals.rest_left_s(instance.id),
         )
 
-    def _sound(
-        self, found: list[placement.Instance]
+    def _healthy(
+        self, instances: list[placement.Instance]
     ) -> list[placement.Instance]:
-        """Return those that did not fail lately, nor come back from a rest."""
+        """Return instances without recent failure and with ramp-up capacity."""
         now = _now()
-        sound = [
-            one
-            for one in found
-            if one.id not in self._unreachable
-            and not self._health.is_avoided(one.id, now)
+        healthy = [
+            instance
+            for instance in instances
+            if instance.id not in self._unreachable
+            and not self._health.is_avoided(instance.id, now)
         ]
-        return self._wishes.back(sound, self._running)
+        return self._signals.back(healthy, self._running)
 
-    def _with_source(
+    def _with_copy_source(
         self,
         service: str,
         parts: prefixes.Parts,
         choice: placement.Choice,
-        regions: Domains | None,
+        regions: NameSet | None,
     ) -> placement.Choice:
-        """Add to a choice where its instance may copy the prefix from."""
-        others = [
-            one
-            for one in self._services[service]
-            if one.id != choice.instance.id
-            and self._may_be_copied(one)
-            and self._is_allowed(one, regions)
+        """Add the instance to copy the prefix from to a choice."""
+        sources = [
+            instance
+            for instance in self._instances_by_service[service]
+            if instance.id != choice.instance.id
+            and self._may_copy_from(instance)
+            and self._is_allowed(instance, regions)
         ]
         source = placement.find_cache_source(
-            parts, choice.instance, others, self._holders
+            parts, choice.instance, sources, self._prefix_holders
         )
         return attrs.evolve(choice, source=source)
 
 
-def to_fields(choice: placement.Choice) -> dict[str, typing.Any]:
-    """Return the fields of a log line that say why one was taken."""
+def log_fields(choice: placement.Choice) -> dict[str, typing.Any]:
+    """Return the log fields that explain a choice."""
     return {
         'backend': choice.instance.id,
         'rank': choice.rank,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -309,7 +309,7 @@
             detail=error.detail,
             offers=exchange.offers,
             fingerprint=exchange.fingerprint,
-            left_out=self._balancer.left_out(
+            left_out=self._balancer.count_excluded(
                 exchange.service, exchange.tried, exchange.match.regions
             ),
         )
--- a/src/honeyport/gateway/request_log.py
+++ b/src/honeyport/gateway/request_log.py
@@ -56,7 +56,7 @@
                 'fingerprint': exchange.fingerprint,
             } | exchange.stages()
             if exchange.choice is not None:
-                fields |= balancer.to_fields(exchange.choice)
+                fields |= balancer.log_fields(exchange.choice)
         if error is not None:
             fields |= {'code': error.code, 'detail': error.detail}
         logs.emit(event, **fields)
