--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -55,7 +55,7 @@
         self._domain = domain
         self._regions = regions
         self._evacuated: NameSet = frozenset()
-        self._cold_start = warmth.Warmth(name)
+        self._cold_start = warmth.ColdStartLimiter(name)
         self._list_number = 0
         self._instances_by_service: dict[str, list[placement.Instance]] = {}
         self._running: collections.Counter[str] = collections.Counter()
@@ -72,9 +72,9 @@
         """In-flight requests of this gateway, by instance id."""
         return self._running
 
-    def set_cold_limits(self, tolerances: warmth.Tolerances) -> None:
+    def set_cold_limits(self, limits: warmth.Limits) -> None:
         """Set the limits of cold instances, by service."""
-        self._cold_start.tolerate(tolerances)
+        self._cold_start.set_limits(limits)
 
     def set_evacuated(self, domains: NameSet) -> None:
         """Set the failure domains whose instances get no new requests.
@@ -89,11 +89,11 @@
         for instances in self._instances_by_service.values():
             for instance in instances:
                 if instance.domain in restored:
-                    self._cold_start.turn_cold(instance)
+                    self._cold_start.restart_cold_period(instance)
 
     def set_gateways(self, gateways: collections.abc.Collection[str]) -> None:
         """Set the names of the gateways that callers are sent to."""
-        self._cold_start.meet(gateways)
+        self._cold_start.set_gateways(gateways)
 
     @property
     def unreachable(self) -> list[str]:
@@ -140,8 +140,8 @@
                 instance
             )
             if listed.cold_ms:
-                self._cold_start.note_cold(listed.id, listed.cold_ms / 1000)
-        self._cold_start.forget_over()
+                self._cold_start.mark_cold(listed.id, listed.cold_ms / 1000)
+        self._cold_start.drop_expired()
         usable = {
             instance.id
             for group in self._instances_by_service.values()
@@ -152,8 +152,8 @@
         self._health.forget_others(usable)
         listed_ids = {entry.id for entry in instances.instances}
         self._prefix_holders.retain(listed_ids)
-        self._signals.forget_others(listed_ids)
-        self._cold_start.forget_others(listed_ids)
+        self._signals.retain(listed_ids)
+        self._cold_start.retain(listed_ids)
         logs.emit(
             events.INSTANCES_APPLIED,
             list_number=self._list_number,
@@ -177,12 +177,12 @@
         :raises errors.NoInstance: if no instance can take it now
         """
         listed = self._instances_by_service.get(service, ())
-        peers = self._signals.staying(
+        peers = self._signals.not_leaving(
             [instance for instance in listed if not instance.leaving]
         )
         eligible = self._eligible(peers, tried, regions)
         if not eligible:
-            fallback = self._signals.last_resort(listed)
+            fallback = self._signals.recently_leaving(listed)
             peers = eligible = self._eligible(fallback, tried, regions)
         if not eligible:
             raise errors.NoInstance(
@@ -195,7 +195,7 @@
             # uses up the retry budget of other requests.
             raise errors.NoInstance(
                 f'all remaining instances of {service} are resting',
-                retry_after=self._signals.come_back_s(eligible),
+                retry_after=self._signals.retry_after_s(eligible),
             )
         candidates = self._candidates(not_resting, peers)
         if not candidates.preferred:
@@ -256,7 +256,9 @@
             ),
             (
                 'resting',
-                lambda instance: self._signals.rest_left_s(instance.id) > 0,
+                lambda instance: (
+                    self._signals.rest_remaining_s(instance.id) > 0
+                ),
             ),
             ('unreachable', lambda instance: instance.id in self._unreachable),
             (
@@ -282,7 +284,7 @@
         """Count a request as in flight on an instance."""
         self._running[instance.id] += 1
         started_at = _now()
-        self._cold_start.note_sent(instance)
+        self._cold_start.record_sent(instance)
         try:
             yield
             # Durations of failed requests are not representative.
@@ -297,7 +299,7 @@
     ) -> None:
         """Record that an instance answered a prompt with these parts."""
         self._health.succeeded(instance.id)
-        self._signals.answered(instance.id)
+        self._signals.record_success(instance.id)
         for part in prefixes.shared_parts(parts):
             self._prefix_holders.add(part.id, instance.id)
 
@@ -369,7 +371,7 @@
         cold_with_capacity = [
             instance
             for instance in cold
-            if self._cold_start.may_take(
+            if self._cold_start.may_send(
                 instance, now, is_last=not healthy_warm
             )
         ]
@@ -396,13 +398,13 @@
             ),
             is_sound=self._health.is_sound(instance.id)
             and instance.id not in self._unreachable
-            and not self._signals.rest_left_s(instance.id),
+            and not self._signals.rest_remaining_s(instance.id),
         )
 
     def _healthy(
         self, instances: list[placement.Instance]
     ) -> list[placement.Instance]:
-        """Return instances without recent failure and with ramp-up capacity."""
+        """Return instances without recent failures, within their ramp-up."""
         now = _now()
         healthy = [
             instance
@@ -410,7 +412,7 @@
             if instance.id not in self._unreachable
             and not self._health.is_avoided(instance.id, now)
         ]
-        return self._signals.back(healthy, self._running)
+        return self._signals.within_ramp_up(healthy, self._running)
 
     def _with_copy_source(
         self,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -224,7 +224,7 @@
             # Connecting took time: the lease may have ended meanwhile, or the
             # instance may have asked another request for rest.
             self._gate.check()
-            self._wishes.check(instance)
+            self._wishes.check_not_resting(instance)
             exchange.failure = None
             exchange.runs += 1
             answer = await self._attempt(exchange, connection)
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -1,4 +1,8 @@
-"""How instances ask this gateway to be treated, in the heads of answers."""
+"""Signals of instances in response headers: rests and departures.
+
+An instance asks for rest with ``Retry-After`` and announces its departure
+with the ``leaving`` header.
+"""
 
 import asyncio
 import collections.abc
@@ -14,39 +18,38 @@
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
 
-# Callers who are refused since all instances rest come back within so long
-# after the first rest, in seconds: not all at its end.
-_SPREAD_S = 0.5
-# How long an instance that says that it leaves still takes requests if there
-# is no other one, in seconds: its successor is listed a little later. Well
-# under the time for which one that leaves goes on serving.
-_LAST_RESORT_S = 1.0
-# What an instance says that does not leave, where it says so at all.
-_NO = frozenset(('', '0', 'false'))
+# Random delay added to Retry-After when all instances rest, in seconds, so
+# that callers do not all retry at once.
+_RETRY_JITTER_MAX_S = 0.5
+# Time after its first leaving header in which an instance still gets requests
+# if no other is available, in seconds; shorter than its draining period.
+_RECENTLY_LEAVING_S = 1.0
+# Values of the leaving header that mean "not leaving".
+_FALSE_VALUES = frozenset(('', '0', 'false'))
 
 
 Instances = collections.abc.Sequence[placement.Instance]
 Running = collections.abc.Mapping[str, int]
-# Called with the name of an instance that says for the first time that it
-# leaves.
-OnLeave = collections.abc.Callable[[str], None]
+# Called with the id of an instance on its first leaving header.
+LeaveCallback = collections.abc.Callable[[str], None]
 
 
 class InstanceSignals:
-    """What the instances have asked of this gateway.
+    """Tracks rests and departures that instances announced.
 
-    Of rests all others are told, who leave these instances alone while others
-    are there. That one leaves they are not told: each hears it in its first
-    answer from there, which costs no caller anything.
+    Rests are reported to control, which passes them on to other gateways;
+    departures are not, as every answer of a leaving instance announces them.
 
-    :param on_leave: called once for each instance that leaves
+    :param names: header names
+    :param counters: metrics registry
+    :param on_leave: called once for each instance that starts to leave
     """
 
     def __init__(
         self,
         names: gateway_headers.HeaderNames,
         counters: metrics.Metrics,
-        on_leave: OnLeave = lambda _: None,
+        on_leave: LeaveCallback = lambda _: None,
     ) -> None:
         self._names = names
         self._on_leave = on_leave
@@ -57,123 +60,137 @@
 
     @property
     def resting(self) -> list[str]:
-        """The instances that asked this gateway for rest, not over yet."""
+        """Ids of the instances that currently rest."""
         return self._rests.resting(_now()) if self._rests else []
 
     def observe(
-        self, instance: placement.Instance, head: attempt.Head, sent: float
+        self, instance: placement.Instance, head: attempt.Head, sent_at: float
     ) -> None:
-        """Take what the head of an instance's answer says of itself.
+        """Process the signal headers of a response.
 
-        :param sent: when the request was sent there, as loop time
+        :param instance: the instance that answered
+        :param head: status and headers of the response
+        :param sent_at: loop time at which the request was sent
         """
-        self._note_late(instance, sent)
-        said = head.headers.get(self._names.leaving, '')
-        if said.strip().lower() not in _NO:
-            self._leave(instance)
-        text = head.headers.get('Retry-After', '')
-        asked_s = retry_after.asked_s(head.status, text)
+        self._log_if_resting(instance, sent_at)
+        leaving = head.headers.get(self._names.leaving, '')
+        if leaving.strip().lower() not in _FALSE_VALUES:
+            self._start_leaving(instance)
+        retry_after_value = head.headers.get('Retry-After', '')
+        asked_s = retry_after.asked_s(head.status, retry_after_value)
         if asked_s is not None:
-            self._rest(instance, head.status, asked_s)
+            self._start_rest(instance, head.status, asked_s)
 
-    def rest_left_s(self, instance: str) -> float:
-        """Return how much longer an instance wants nothing, in seconds."""
+    def rest_remaining_s(self, instance: str) -> float:
+        """Return the remaining rest of an instance, in seconds."""
         return self._rests.left_s(instance, _now())
 
-    def answered(self, instance: str) -> None:
-        """Note that an instance took a request and answered it."""
+    def record_success(self, instance: str) -> None:
+        """Record that an instance answered a request."""
         if self._rests:
             self._rests.answered(instance, _now())
 
-    def awake(self, instances: Instances) -> Instances:
-        """Return those that do not rest."""
+    def not_resting(self, instances: Instances) -> Instances:
+        """Return the instances that do not rest."""
         if not self._rests:
             return instances
         now = _now()
         return [
-            one for one in instances if not self._rests.left_s(one.id, now)
+            instance
+            for instance in instances
+            if not self._rests.left_s(instance.id, now)
         ]
 
-    def back(self, instances: Instances, running: Running) -> Instances:
-        """Return those that may get one more request, others being there.
-
-        One that comes back from a rest gets little at first.
+    def within_ramp_up(
+        self, instances: Instances, running: Running
+    ) -> Instances:
+        """Return the instances whose ramp-up after rest allows a request.
 
-        :param running: the requests of this gateway that run on each
+        :param running: in-flight requests of this gateway, by instance id
         """
         if not self._rests:
             return instances
         now = _now()
         return [
-            one
-            for one in instances
-            if self._rests.is_back(one.id, running.get(one.id, 0), now)
+            instance
+            for instance in instances
+            if self._rests.is_back(
+                instance.id, running.get(instance.id, 0), now
+            )
         ]
 
-    def staying(self, instances: Instances) -> Instances:
-        """Return those that have not said that they leave."""
+    def not_leaving(self, instances: Instances) -> Instances:
+        """Return the instances that have not announced their departure."""
         if not self._leaving_since:
             return instances
-        return [one for one in instances if one.id not in self._leaving_since]
+        return [
+            instance
+            for instance in instances
+            if instance.id not in self._leaving_since
+        ]
 
-    def last_resort(self, instances: Instances) -> Instances:
-        """Return those that leave, and serve on if there is no other one.
+    def recently_leaving(self, instances: Instances) -> Instances:
+        """Return instances that began to leave and still serve.
 
-        The list may not say so yet; where it does, their time is over.
+        Instances that are listed as leaving are excluded.
         """
-        latest = _now() - _LAST_RESORT_S
+        cutoff = _now() - _RECENTLY_LEAVING_S
         return [
-            one
-            for one in instances
-            if not one.leaving
-            and self._leaving_since.get(one.id, latest) > latest
+            instance
+            for instance in instances
+            if not instance.leaving
+            and self._leaving_since.get(instance.id, cutoff) > cutoff
         ]
 
     def leaving_since(self, instance: str) -> float | None:
-        """Return when an instance first said that it leaves, as loop time."""
+        """Return the loop time of an instance's first leaving header."""
         return self._leaving_since.get(instance)
 
-    def check(self, instance: placement.Instance) -> None:
-        """Raise an error unless a request may be sent to an instance now.
+    def check_not_resting(self, instance: placement.Instance) -> None:
+        """Check that an instance does not rest.
 
-        :raises errors.InstanceRests: if it asked for rest meanwhile
+        :raises errors.InstanceRests: if it does
         """
-        left_s = self.rest_left_s(instance.id)
-        if left_s:
+        remaining_s = self.rest_remaining_s(instance.id)
+        if remaining_s:
             raise errors.InstanceRests(
-                f'{instance.id} rests', retry_after=left_s
+                f'{instance.id} is resting', retry_after=remaining_s
             )
 
-    def come_back_s(
+    def retry_after_s(
         self, instances: collections.abc.Iterable[placement.Instance]
     ) -> float:
-        """Return when a caller finds one that rests no more, in seconds.
+        """Return after how long a caller should retry, in seconds.
 
-        :param instances: those that it may use, at least one
+        :param instances: resting instances that it may use; not empty
         """
-        first_s = min(self.rest_left_s(one.id) for one in instances)
-        return first_s + random.uniform(0.0, _SPREAD_S)
-
-    def forget_others(self, present: set[str]) -> None:
-        """Forget the instances that are gone."""
-        self._rests.forget_others(present)
-        for name in self._leaving_since.keys() - present:
-            del self._leaving_since[name]
-
-    def _note_late(self, instance: placement.Instance, sent: float) -> None:
-        """Log a request that was sent to an instance in its rest."""
-        passed_s = self._rests.passed_s(instance.id, sent)
-        if passed_s is None:
+        remaining_s = min(
+            self.rest_remaining_s(instance.id) for instance in instances
+        )
+        return remaining_s + random.uniform(0.0, _RETRY_JITTER_MAX_S)
+
+    def retain(self, listed_ids: set[str]) -> None:
+        """Drop the state of instances that are no longer listed."""
+        self._rests.forget_others(listed_ids)
+        for instance_id in self._leaving_since.keys() - listed_ids:
+            del self._leaving_since[instance_id]
+
+    def _log_if_resting(
+        self, instance: placement.Instance, sent_at: float
+    ) -> None:
+        """Log and count a request that was sent to a resting instance."""
+        rested_s = self._rests.passed_s(instance.id, sent_at)
+        if rested_s is None:
             return
         self._metrics.count('resting_used')
         logs.emit(
             events.RESTING_USED,
             backend=instance.id,
             address=instance.address,
-            rested_s=round(passed_s, 3),
+            rested_s=round(rested_s, 3),
         )
 
-    def _leave(self, instance: placement.Instance) -> None:
+    def _start_leaving(self, instance: placement.Instance) -> None:
         if instance.id in self._leaving_since:
             return
         self._leaving_since[instance.id] = _now()
@@ -185,7 +202,7 @@
         )
         self._on_leave(instance.id)
 
-    def _rest(
+    def _start_rest(
         self, instance: placement.Instance, status: int, asked_s: float
     ) -> None:
         rest = self._rests.ask(instance.id, asked_s, _now())
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -1,4 +1,4 @@
-"""Which instances are cold, and what this gateway may send them."""
+"""Limits on requests to cold instances, whose caches are empty."""
 
 import asyncio
 import collections.abc
@@ -6,66 +6,72 @@
 from honeyport.policy import cold
 from honeyport.policy import placement
 
-Tolerances = collections.abc.Mapping[str, cold.Tolerance]
+Limits = collections.abc.Mapping[str, cold.Tolerance]
 
 
-class Warmth:
-    """The cold instances, and this gateway's share of what they tolerate.
+class ColdStartLimiter:
+    """Tracks cold instances and this gateway's share of their limits.
 
-    :param name: of our gateway
+    :param name: name of this gateway
     """
 
     def __init__(self, name: str) -> None:
-        self._tolerances: Tolerances = {}
-        self._spells = cold.Spells()
+        self._limits: Limits = {}
+        self._cold_periods = cold.Spells()
         self._shares = cold.Shares(name)
 
-    def tolerate(self, tolerances: Tolerances) -> None:
-        """Take what cold instances tolerate, by service."""
-        self._tolerances = tolerances
+    def set_limits(self, limits: Limits) -> None:
+        """Set the limits of cold instances, by service."""
+        self._limits = limits
 
-    def meet(self, gateways: collections.abc.Collection[str]) -> None:
-        """Take the names of the gateways that callers are sent to."""
+    def set_gateways(self, gateways: collections.abc.Collection[str]) -> None:
+        """Set the gateways that share the limits, by name."""
         self._shares.regard(gateways, _now())
 
-    def note_cold(self, instance: str, seconds: float) -> None:
-        """Note how much longer an instance is cold, in seconds."""
-        self._spells.note(instance, _now() + seconds)
+    def mark_cold(self, instance: str, cold_s: float) -> None:
+        """Treat an instance as cold from now on.
 
-    def turn_cold(self, instance: placement.Instance) -> None:
-        """Note that an instance may have turned cold just now."""
-        self.note_cold(instance.id, self._tolerance(instance).cold_s)
+        :param cold_s: remaining duration, in seconds
+        """
+        self._cold_periods.note(instance, _now() + cold_s)
+
+    def restart_cold_period(self, instance: placement.Instance) -> None:
+        """Treat an instance as cold for the full period of its service."""
+        self.mark_cold(instance.id, self._limit(instance).cold_s)
 
     def is_cold(self, instance: placement.Instance, now: float) -> bool:
-        """Whether an instance is cold now."""
-        return self._spells.is_cold(instance.id, now)
+        """Whether an instance is cold at a loop time."""
+        return self._cold_periods.is_cold(instance.id, now)
 
-    def may_take(
+    def may_send(
         self, instance: placement.Instance, now: float, *, is_last: bool
     ) -> bool:
-        """Whether a cold instance may get a request of this gateway.
+        """Whether this gateway may send a request to a cold instance.
 
-        :param is_last: whether nothing but cold instances is left
+        :param now: loop time
+        :param is_last: whether only cold instances are left
         """
-        most = self._tolerance(instance).most
-        return self._shares.may_take(instance.id, most, now, is_last=is_last)
+        max_requests = self._limit(instance).most
+        return self._shares.may_take(
+            instance.id, max_requests, now, is_last=is_last
+        )
 
-    def note_sent(self, instance: placement.Instance) -> None:
-        """Count a request to an instance if that is cold."""
+    def record_sent(self, instance: placement.Instance) -> None:
+        """Count a request against the share if its instance is cold."""
         now = _now()
         if self.is_cold(instance, now):
             self._shares.note_sent(instance.id, now)
 
-    def forget_over(self) -> None:
-        """Forget the spells that are over."""
-        self._spells.forget_over(_now())
+    def drop_expired(self) -> None:
+        """Drop the cold periods that are over."""
+        self._cold_periods.forget_over(_now())
 
-    def forget_others(self, present: set[str]) -> None:
-        """Forget what was sent to instances that are gone."""
-        self._shares.forget_others(present)
+    def retain(self, listed_ids: set[str]) -> None:
+        """Drop the counts of instances that are no longer listed."""
+        self._shares.forget_others(listed_ids)
 
-    def _tolerance(self, instance: placement.Instance) -> cold.Tolerance:
-        return self._tolerances.get(instance.service, cold.Tolerance())
+    def _limit(self, instance: placement.Instance) -> cold.Tolerance:
+        return self._limits.get(instance.service, cold.Tolerance())
 
 
 def _now() -> float:
