--- a/src/honeyport/control/machine.py
+++ b/src/honeyport/control/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: what committed log entries add up to."""
+"""The replicated state machine, to which committed entries are applied."""
 
 import collections.abc
 import typing
@@ -11,14 +11,21 @@
 from honeyport.policy import places
 from honeyport.wire import honeyport_pb2 as pb
 
-_HISTORY = 1000
+_HISTORY_VERSIONS = 1000  # versions whose digests are kept
 
 Result = typing.Any
 
 
 @attrs.frozen
 class Accepted:
-    """A version of the bundle that was committed."""
+    """A committed version of the bundle.
+
+    :ivar version: 0 before the first one
+    :ivar digest: digest of the entries and the version
+    :ivar contents: the entries
+    :ivar signatures: signature by signer
+    :ivar document: the text it was made from, if it came as one
+    """
 
     version: int = 0
     digest: str = ''
@@ -30,12 +37,12 @@
 
     @property
     def entries(self) -> bundle_entries.Entries:
-        """The entries of the version."""
+        """The entries by key."""
         return self.contents.entries
 
 
 class Machine:
-    """Applies entries in the order of the log."""
+    """State machine that applies log entries in order."""
 
     def __init__(self) -> None:
         self._accepted = Accepted()
@@ -48,46 +55,46 @@
 
     @property
     def accepted(self) -> Accepted:
-        """The accepted bundle; version 0 before the first."""
+        """The latest committed bundle; version 0 before the first."""
         return self._accepted
 
     @property
     def history(self) -> dict[int, str]:
-        """The digests of recent versions."""
+        """Digests of the recent versions, by version."""
         return dict(self._history)
 
     @property
     def claims(self) -> claims.Claims:
-        """The claims."""
+        """The claims to run non-repeatable requests."""
         return self._claims
 
     @property
     def places(self) -> places.Holdings:
-        """Which instance keeps which prefixes, the latest given last."""
+        """Holdings by place, the latest assignment last."""
         return self._places
 
     @property
     def routers(self) -> dict[str, str]:
-        """Where the routers listen for other processes, by name."""
+        """Peer addresses of the routers, by name."""
         return dict(self._routers)
 
     @property
     def suspects(self) -> dict[str, tuple[str, ...]]:
-        """The instances that ended under a request, by its fingerprint."""
+        """Instances that ended while running a request, by its fingerprint."""
         return dict(self._suspects)
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """The failure domains whose instances get nothing new."""
+        """Failure domains whose instances get no new requests."""
         return self._evacuated
 
     def apply(self, entry: pb.Entry) -> Result:
-        """Apply an entry; return what its proposer wants to know."""
+        """Apply a committed entry; return the result for its proposer."""
         kind = entry.WhichOneof('command')
         if kind == 'bundle':
-            return self._accept(entry.bundle)
+            return self._apply_bundle_delta(entry.bundle)
         if kind == 'replace':
-            return self._replace(entry.replace)
+            return self._replace_bundle(entry.replace)
         if kind == 'claims':
             return self._claims.apply(entry.claims)
         if kind == 'places':
@@ -114,13 +121,13 @@
         )
         for version, digest in self._history.items():
             state.receipts.add(version=version, digest=digest)
-        state.places.extend(_holdings(self._places))
+        state.places.extend(_holding_messages(self._places))
         state.suspects.extend(suspect_records(self._suspects))
         self._claims.save(state)
         return state
 
     def restore(self, state: pb.State) -> None:
-        """Take the state of a snapshot."""
+        """Replace the state by that of a snapshot."""
         self._accepted = Accepted(
             state.version,
             state.digest,
@@ -131,14 +138,17 @@
         self._history = {
             receipt.version: receipt.digest for receipt in state.receipts
         }
-        self._places = _by_place(state.places)
+        self._places = _holdings_by_place(state.places)
         self._routers = dict(state.routers)
-        self._suspects = _by_request(state.suspects)
+        self._suspects = _instances_by_request(state.suspects)
         self._evacuated = frozenset(state.evacuated)
         self._claims.restore(state)
 
-    def _accept(self, command: pb.AcceptBundle) -> bool:
-        """Accept a version if it follows the accepted one."""
+    def _apply_bundle_delta(self, command: pb.AcceptBundle) -> bool:
+        """Apply a delta if its version follows the accepted one.
+
+        :returns: whether the command's version, with its digest, is committed
+        """
         if command.version != self._accepted.version + 1:
             return self._history.get(command.version) == command.digest
         delta = bundle_entries.Delta(
@@ -153,37 +163,39 @@
             self._accepted.contents.apply(delta),
             dict(command.signatures),
         )
-        self._remember(command.version, command.digest)
+        self._add_to_history(command.version, command.digest)
         return True
 
-    def _replace(self, command: pb.ReplaceBundle) -> bool:
-        """Take a whole configuration if its version is the highest.
+    def _replace_bundle(self, command: pb.ReplaceBundle) -> bool:
+        """Replace the whole bundle if the version is higher than before.
 
-        A lower or equal version changes nothing: what was first committed
-        under a version stays. That is no failure for whoever sent it.
+        :returns: whether it was replaced; a version that is already
+            committed is never overwritten
         """
         if command.version <= self._accepted.version:
             return False
-        held = self._accepted
+        previous = self._accepted
         entries = packed.unpack_snapshot(command.entries)
-        # What did not change is shared with the versions before: a leader
-        # keeps some, and a large bundle is a megabyte each.
-        contents = held.contents.apply(
+        # A delta shares unchanged entries with earlier versions in memory.
+        contents = previous.contents.apply(
             bundle_entries.diff(
-                held.version, held.entries, command.version, entries
+                previous.version, previous.entries, command.version, entries
             )
         )
         digest = contents.digest(command.version)
         self._accepted = Accepted(
             command.version, digest, contents, {}, command.document
         )
-        self._remember(command.version, digest)
+        self._add_to_history(command.version, digest)
         return True
 
     def _change_places(self, command: pb.PlaceChange) -> None:
-        for place in (*command.removed, *(one.place for one in command.put)):
+        for place in (
+            *command.removed,
+            *(holding.place for holding in command.put),
+        ):
             self._places.pop(place, None)
-        self._places |= _by_place(command.put)
+        self._places |= _holdings_by_place(command.put)
 
     def _change_routers(self, command: pb.RouterChange) -> None:
         for name in command.removed:
@@ -193,55 +205,65 @@
     def _change_suspects(self, command: pb.SuspectChange) -> None:
         for request in command.removed:
             self._suspects.pop(request.hex(), None)
-        self._suspects |= _by_request(command.put)
+        self._suspects |= _instances_by_request(command.put)
 
     def _change_evacuated(self, command: pb.EvacuationChange) -> None:
-        left = self._evacuated - frozenset(command.ended)
-        self._evacuated = left | frozenset(command.begun)
+        remaining = self._evacuated - frozenset(command.ended)
+        self._evacuated = remaining | frozenset(command.begun)
 
-    def _remember(self, version: int, digest: str) -> None:
+    def _add_to_history(self, version: int, digest: str) -> None:
         self._history[version] = digest
-        while len(self._history) > _HISTORY:
+        while len(self._history) > _HISTORY_VERSIONS:
             del self._history[next(iter(self._history))]
 
 
 def place_change(change: places.Change) -> pb.PlaceChange:
-    """Return the command that changes places."""
-    return pb.PlaceChange(put=_holdings(change.put), removed=change.removed)
+    """Return the log command for a change of places."""
+    return pb.PlaceChange(
+        put=_holding_messages(change.put), removed=change.removed
+    )
 
 
-def _holdings(found: places.Holdings) -> list[pb.Holding]:
+def _holding_messages(holdings: places.Holdings) -> list[pb.Holding]:
     return [
         pb.Holding(
             place=place,
-            service=one.service,
-            holder=one.holder,
-            former=one.former,
+            service=holding.service,
+            holder=holding.holder,
+            former=holding.former,
         )
-        for place, one in found.items()
+        for place, holding in holdings.items()
     ]
 
 
-def _by_place(
-    found: collections.abc.Iterable[pb.Holding],
+def _holdings_by_place(
+    messages: collections.abc.Iterable[pb.Holding],
 ) -> dict[str, places.Holding]:
     return {
-        one.place: places.Holding(one.service, one.holder, one.former)
-        for one in found
+        message.place: places.Holding(
+            message.service, message.holder, message.former
+        )
+        for message in messages
     }
 
 
 def suspect_records(
-    found: collections.abc.Mapping[str, tuple[str, ...]],
+    instances_by_request: collections.abc.Mapping[str, tuple[str, ...]],
 ) -> list[pb.SuspectRecord]:
-    """Return the messages for instances that ended under requests."""
+    """Return the protobuf messages for suspect requests.
+
+    :param instances_by_request: instances that ended while running
+        a request, by its fingerprint in hex
+    """
     return [
         pb.SuspectRecord(request=bytes.fromhex(request), instances=instances)
-        for request, instances in found.items()
+        for request, instances in instances_by_request.items()
     ]
 
 
-def _by_request(
-    found: collections.abc.Iterable[pb.SuspectRecord],
+def _instances_by_request(
+    messages: collections.abc.Iterable[pb.SuspectRecord],
 ) -> dict[str, tuple[str, ...]]:
-    return {one.request.hex(): tuple(one.instances) for one in found}
+    return {
+        message.request.hex(): tuple(message.instances) for message in messages
+    }
