--- a/src/honeyport/control/files.py
+++ b/src/honeyport/control/files.py
@@ -1,7 +1,6 @@
-"""The calls that a replica's storage makes to the file system.
+"""File system interface of a replica's storage.
 
-They stand behind a class of their own so that tests can put a disk in
-their place that loses what was not synced, or takes no more bytes.
+Tests replace it by a simulated disk that loses unsynced data or is full.
 """
 
 import fcntl
@@ -11,51 +10,51 @@
 
 
 class Handle(typing.Protocol):
-    """A file that is open for writing at its end."""
+    """A file that is open for appending."""
 
     def write(self, data: bytes) -> None:
         """Write all bytes.
 
-        :raises OSError: if not all of them were taken
+        :raises OSError: if not all bytes were written
         """
 
     def sync(self) -> None:
-        """Return once what was written survives a loss of power."""
+        """Sync the written data, so that it survives a power loss."""
 
     def close(self) -> None:
-        """Close the file; nothing is synced by that."""
+        """Close the file without syncing it."""
 
 
 class Files(typing.Protocol):
-    """What a storage needs of a file system. Every method blocks."""
+    """The file system operations of a storage. Every method blocks."""
 
     def make_folder(self, path: pathlib.Path) -> None:
-        """Make a folder and its parents, if they are not there."""
+        """Create a folder and its parents if they are missing."""
 
     def lock(self, path: pathlib.Path) -> typing.Callable[[], None]:
-        """Lock a file for this process; return what unlocks it.
+        """Lock a file for this process; return a function that unlocks it.
 
-        :raises OSError: if another process holds it
+        :raises OSError: if another process has locked it
         """
 
     def read(self, path: pathlib.Path) -> bytes | None:
-        """Return what a file holds, or ``None`` if it is not there."""
+        """Return the contents of a file, or ``None`` if it is missing."""
 
     def open(self, path: pathlib.Path, *, fresh: bool) -> Handle:
-        """Open a file at its end, or empty if it is to be fresh."""
+        """Open a file for appending, truncated to 0 bytes if ``fresh``."""
 
     def truncate(self, path: pathlib.Path, length: int) -> None:
-        """Cut a file; it has to be synced like a write."""
+        """Truncate a file to a length in bytes, without syncing it."""
 
     def rename(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        """Give a file another's name; its folder has to be synced."""
+        """Rename a file over another, without syncing the folder."""
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Return once the names in a folder survive a loss of power."""
+        """Sync a folder, so that its file names survive a power loss."""
 
 
 class _OpenFile:
-    """A file without a buffer of its own: a failed write leaves none."""
+    """An unbuffered file, so that no data is written after a failure."""
 
     def __init__(self, path: pathlib.Path, *, fresh: bool) -> None:
         flags = os.O_WRONLY | os.O_CREAT
@@ -63,9 +62,9 @@
         self._descriptor = os.open(path, flags, 0o644)
 
     def write(self, data: bytes) -> None:
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(self._descriptor, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._descriptor, remaining) :]
 
     def sync(self) -> None:
         os.fsync(self._descriptor)
@@ -81,13 +80,13 @@
         path.mkdir(parents=True, exist_ok=True)
 
     def lock(self, path: pathlib.Path) -> typing.Callable[[], None]:
-        file = open(path, 'w', encoding='utf-8')
+        lock_file = open(path, 'w', encoding='utf-8')
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            file.close()
+            lock_file.close()
             raise
-        return file.close
+        return lock_file.close
 
     def read(self, path: pathlib.Path) -> bytes | None:
         return path.read_bytes() if path.exists() else None
@@ -102,8 +101,8 @@
         os.replace(old, new)
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        handle = os.open(path, os.O_RDONLY)
+        descriptor = os.open(path, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
