--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -103,7 +103,7 @@
                     ]
                 )
             else:
-                log.cut(first - 1)
+                log.truncate_prefix(first - 1)
             for upto in (None, *range(log.base_index, log.last_index + 1)):
                 assert log.members(upto) == _naive(log, upto)
 
--- a/src/honeyport/control/__init__.py
+++ b/src/honeyport/control/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log and the state it holds."""
+"""The control plane: a Raft log, its state machine and router streams."""
--- a/src/honeyport/control/durable.py
+++ b/src/honeyport/control/durable_log.py
@@ -1,4 +1,4 @@
-"""The log of a replica: in memory, on its disk, and applied."""
+"""Log of a replica: entries in memory and on disk, and their application."""
 
 import collections.abc
 import typing
@@ -12,15 +12,15 @@
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
 
-_KEPT_TAIL = 200  # applied entries kept for followers that lag a little
-# After a snapshot that the disk did not take, the next try comes so many
-# entries later: a tenth of the usual distance between two.
-_RETRY_SHARE = 0.1
+# Applied entries kept in memory after a snapshot, for lagging followers.
+_KEPT_ENTRIES = 200
+# Interval until a failed snapshot is retried, relative to the usual interval.
+_RETRY_INTERVAL_FACTOR = 0.1
 
 Persist = collections.abc.Callable[..., collections.abc.Awaitable[None]]
 OnApplied = collections.abc.Callable[[pb.Entry, typing.Any], None]
 
-_FIELDS: dict[type, str] = {
+_COMMAND_FIELDS: dict[type, str] = {
     pb.Members: 'members',
     pb.AcceptBundle: 'bundle',
     pb.ClaimBatch: 'claims',
@@ -34,12 +34,12 @@
 
 
 class DurableLog:
-    """Entries that are synced before anybody hears of them.
+    """Replicated log with its vote, snapshots and state machine.
 
     :param disk: the storage, not loaded yet
-    :param persist: runs a blocking function of the storage, in order
-    :param founding: the founding members, name to address
-    :param snapshot_entries: applied entries after which a snapshot is due
+    :param persist: runs blocking storage functions one after the other
+    :param initial_members: name to address, for a disk without a record
+    :param snapshot_entries: applied entries between two snapshots
     :param on_applied: called with each applied entry and its result
     """
 
@@ -47,7 +47,7 @@
         self,
         disk: storage.Storage,
         persist: Persist,
-        founding: dict[str, str],
+        initial_members: dict[str, str],
         snapshot_entries: int,
         on_applied: OnApplied,
     ) -> None:
@@ -56,34 +56,34 @@
         self._persist = persist
         self._snapshot_entries = snapshot_entries
         self._on_applied = on_applied
-        self._sound = True  # whether the last write succeeded
+        self._last_write_succeeded = True
         self._vote = contents.vote
         self._machine = machine.Machine()
         self._journal = journal.Journal()
         self._applied = 0
         self._snapshot_due = snapshot_entries
-        # Settings may name other instances at the next start: what was noted
-        # at the founding decides who is a member before the first entry.
-        founders = disk.identity.founders or founding
-        self._founding = membership.founding(founders)
-        self._base_members = self._founding
+        # The members recorded at the bootstrap take precedence, since the
+        # settings may have changed since then.
+        recorded_members = disk.identity.founders or initial_members
+        self._initial_members = membership.initial_members(recorded_members)
+        self._base_members = self._initial_members
         self._restore(contents.snapshot, contents.entries)
         self._commit = self._applied
-        self._written = self._journal.last_index
+        self._synced_index = self._journal.last_index
 
     @property
     def identity(self) -> storage.Identity:
-        """Which disk this is."""
+        """Identity of the disk."""
         return self._disk.identity
 
     @property
     def vote(self) -> storage.Vote:
-        """The highest term seen, and the vote given in it."""
+        """Highest term seen, and the candidate voted for in it."""
         return self._vote
 
     @property
     def journal(self) -> journal.Journal:
-        """The entries in memory."""
+        """The log entries in memory."""
         return self._journal
 
     @property
@@ -93,85 +93,98 @@
 
     @property
     def commit(self) -> int:
-        """The highest index known to be committed."""
+        """Highest index known to be committed."""
         return self._commit
 
     @property
     def applied(self) -> int:
-        """The index of the last applied entry."""
+        """Index of the last applied entry."""
         return self._applied
 
     @property
-    def written(self) -> int:
-        """The index up to which our disk has the entries."""
-        return self._written
+    def synced_index(self) -> int:
+        """Index up to which entries are synced to our disk."""
+        return self._synced_index
 
     @property
-    def founding(self) -> pb.Members:
-        """The founding members."""
-        return self._founding
+    def initial_members(self) -> pb.Members:
+        """Members before the first entry of the log."""
+        return self._initial_members
 
     @property
     def members(self) -> pb.Members:
-        """The members in force: the latest in the log (section 4.1)."""
+        """The latest members in the log, committed or not (section 4.1)."""
         return self._journal.members() or self._base_members
 
     @property
-    def members_settled(self) -> bool:
-        """Whether the latest change of members is committed."""
+    def members_committed(self) -> bool:
+        """Whether the latest membership change is committed."""
         return self.members_at(self._commit) == self.members
 
     def members_at(self, index: int) -> pb.Members:
-        """Return the members in force at an index."""
+        """Return the latest members up to an index."""
         return self._journal.members(index) or self._base_members
 
-    async def found(self) -> None:
-        """Note on the disk that it took part in the founding, and who else."""
-        founders = {
-            member.name: member.address for member in self._founding.replicas
+    async def mark_founded(self) -> None:
+        """Record the bootstrap and the initial members on the disk.
+
+        :raises errors.StorageFailed: if the write failed
+        """
+        recorded_members = {
+            member.name: member.address
+            for member in self._initial_members.replicas
         }
-        await self._sync(self._disk.found, founders)
+        await self._call_storage(self._disk.mark_founded, recorded_members)
 
     async def save_vote(self, vote: storage.Vote) -> None:
         """Sync a term and a vote.
 
-        :raises errors.StorageFailed: if the disk did not take them
+        :raises errors.StorageFailed: if the write failed; the vote in memory
+            is then the previous one
         """
-        before = self._vote
-        self._vote = vote  # a snapshot that begins meanwhile keeps it
+        previous_vote = self._vote
+        self._vote = vote  # included in a snapshot that starts meanwhile
         try:
-            await self._sync(self._disk.append, [], vote)
+            await self._call_storage(self._disk.append, [], vote)
         except errors.StorageFailed:
-            self._vote = before
+            self._vote = previous_vote
             raise
 
     def append(self, command: typing.Any) -> pb.Entry:
-        """Add our own entry in the current term; it is not synced yet."""
+        """Append an entry of the current term without syncing it."""
         entry = pb.Entry(
             index=self._journal.last_index + 1, term=self._vote.term
         )
-        getattr(entry, _FIELDS[type(command)]).CopyFrom(command)
+        getattr(entry, _COMMAND_FIELDS[type(command)]).CopyFrom(command)
         self._journal.append(entry)
         return entry
 
     async def merge(self, entries: typing.Sequence[pb.Entry]) -> None:
-        """Take a leader's entries, and sync all that is not synced."""
-        fresh = self._journal.merge(entries)
-        if fresh:
-            self._written = min(self._written, fresh[0].index - 1)
-        await self.write_rest()
-
-    async def write_rest(self) -> None:
-        """Sync the entries that are not on our disk yet."""
+        """Merge a leader's entries and sync all unsynced ones.
+
+        :raises errors.StorageFailed: if the write failed
+        """
+        new_entries = self._journal.merge(entries)
+        if new_entries:
+            self._synced_index = min(
+                self._synced_index, new_entries[0].index - 1
+            )
+        await self.sync_pending()
+
+    async def sync_pending(self) -> None:
+        """Sync the entries that are only in memory.
+
+        :raises errors.StorageFailed: if the write failed
+        """
         entries = self._journal.slice(
-            self._written + 1, self._journal.last_index
+            self._synced_index + 1, self._journal.last_index
         )
         if entries:
-            await self._sync(self._disk.append, entries)
-            self._written = entries[-1].index
+            await self._call_storage(self._disk.append, entries)
+            self._synced_index = entries[-1].index
 
     async def advance(self, commit: int) -> None:
-        """Apply entries up to a committed index."""
+        """Advance the commit index, and apply entries up to it."""
         self._commit = max(self._commit, commit)
         if self._applied >= self._commit:
             return
@@ -180,10 +193,10 @@
             result = self._machine.apply(entry)
             self._applied += 1
             self._on_applied(entry, result)
-        await self._compact()
+        await self._take_snapshot()
 
     def snapshot(self) -> pb.State:
-        """Return the state as it is now."""
+        """Return a snapshot of all applied entries."""
         state = self._machine.save()
         state.index = self._applied
         state.term = self._journal.term(self._applied)
@@ -191,53 +204,62 @@
         return state
 
     async def install(self, state: pb.State) -> None:
-        """Take a leader's snapshot in place of our log."""
-        await self._sync(self._disk.compact, state, [], self._vote)
+        """Replace the log by a leader's snapshot.
+
+        :raises errors.StorageFailed: if the write failed
+        """
+        await self._call_storage(self._disk.compact, state, [], self._vote)
         self._restore(state, [])
         self._commit = self._applied
-        self._written = self._applied
+        self._synced_index = self._applied
         logs.emit(events.SNAPSHOT_RECEIVED, index=state.index)
 
-    async def _compact(self) -> None:
+    async def _take_snapshot(self) -> None:
         if self._applied < self._snapshot_due:
             return
         state = self.snapshot()
-        tail = self._journal.slice(
+        later_entries = self._journal.slice(
             state.index + 1, self._journal.last_index - state.index
         )
-        # Before the disk takes it: nobody else begins one meanwhile.
+        # Set before the write, so that no other snapshot starts meanwhile.
         self._snapshot_due = state.index + self._snapshot_entries
         try:
-            await self._sync(self._disk.compact, state, tail, self._vote)
+            await self._call_storage(
+                self._disk.compact, state, later_entries, self._vote
+            )
         except errors.StorageFailed:
-            retry = max(1, int(self._snapshot_entries * _RETRY_SHARE))
-            self._snapshot_due = state.index + retry
+            retry_entries = max(
+                1, int(self._snapshot_entries * _RETRY_INTERVAL_FACTOR)
+            )
+            self._snapshot_due = state.index + retry_entries
             return
-        kept_from = max(self._journal.base_index, state.index - _KEPT_TAIL)
-        self._base_members = self.members_at(kept_from)
-        self._journal.cut(kept_from)
+        first_kept_after = max(
+            self._journal.base_index, state.index - _KEPT_ENTRIES
+        )
+        self._base_members = self.members_at(first_kept_after)
+        self._journal.truncate_prefix(first_kept_after)
         logs.emit(events.SNAPSHOT_TAKEN, index=state.index)
 
-    async def _sync(
+    async def _call_storage(
         self, function: typing.Callable[..., None], *args: typing.Any
     ) -> None:
-        """Run a function of the storage; say so when it starts to fail."""
+        """Run a storage function; log when writes start or stop failing."""
         try:
             await self._persist(function, *args)
         except errors.StorageFailed as error:
-            if self._sound:
+            if self._last_write_succeeded:
                 logs.emit(
                     events.STORAGE_FAILED,
                     code=error.code,
                     detail=error.detail,
                     term=self._vote.term,
-                    written=self._written,
+                    written=self._synced_index,
                 )
-            self._sound = False
+            self._last_write_succeeded = False
             raise
-        if not self._sound:
-            logs.emit(events.STORAGE_REGAINED, written=self._written)
-        self._sound = True
+        if not self._last_write_succeeded:
+            logs.emit(events.STORAGE_REGAINED, written=self._synced_index)
+        self._last_write_succeeded = True
 
     def _restore(
         self, state: pb.State | None, entries: typing.Sequence[pb.Entry]
--- a/src/honeyport/control/group.py
+++ b/src/honeyport/control/group.py
@@ -1,4 +1,4 @@
-"""A control replica and its routers' streams, ready to be served."""
+"""A control replica with its gRPC server and router streams."""
 
 import asyncio
 import concurrent.futures
@@ -13,10 +13,10 @@
 from honeyport.control import introductions
 from honeyport.control import links
 from honeyport.control import membership
+from honeyport.control import membership_manager
 from honeyport.control import replica
 from honeyport.control import sessions
 from honeyport.control import storage
-from honeyport.control import succession
 from honeyport.settings import roles
 from honeyport import supervisor
 from honeyport.telemetry import metrics
@@ -26,8 +26,8 @@
 _STOP_GRACE_S = 0.2
 
 
-class Disk:
-    """Runs the storage's blocking functions in order, off the loop."""
+class DiskThread:
+    """Runs blocking storage functions in order on a thread of its own."""
 
     def __init__(self) -> None:
         self._thread = concurrent.futures.ThreadPoolExecutor(
@@ -37,14 +37,14 @@
     async def run(
         self, function: typing.Callable[..., None], *args: typing.Any
     ) -> None:
-        """Call a function on the disk's thread."""
+        """Call a function on the thread and wait until it returns."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self._thread, function, *args)
 
 
 @attrs.frozen
 class Group:
-    """What every process with a control replica has."""
+    """Components of a process that runs a control replica."""
 
     node: replica.Replica
     routers: sessions.Sessions
@@ -57,15 +57,15 @@
     tree: supervisor.Supervisor,
     counters: metrics.Metrics,
 ) -> Group:
-    """Return a control replica that :func:`start` starts.
+    """Create a control replica, to be started by :func:`start`.
 
-    :raises errors.StorageDamaged: if its data folder cannot be trusted
+    :raises errors.StorageDamaged: if its data folder is damaged or in use
     """
     store = storage.Storage(settings.data)
     node = replica.Replica(
         settings.name,
         store,
-        Disk().run,
+        DiskThread().run,
         settings.members,
         functools.partial(_connect, settings),
         replica.Options(
@@ -80,25 +80,27 @@
     server = channels.server()
     rpc.add_ReplicaServicer_to_server(links.ReplicaServicer(node), server)
     rpc.add_SessionServicer_to_server(routers, server)
-    desk = clearance.SuspicionService(node, routers.suspects)
-    rpc.add_SuspicionServicer_to_server(desk, server)
-    tree.on_stop('storage', _closer(store))
+    clearance_servicer = clearance.SuspicionService(node, routers.suspects)
+    rpc.add_SuspicionServicer_to_server(clearance_servicer, server)
+    tree.on_stop('storage', _close_on_stop(store))
     counters.gauge('control_term', lambda: node.term)
     counters.gauge('control_commit', lambda: node.commit)
     counters.gauge('control_leads', lambda: node.leads)
-    counters.gauge('control_voters', lambda: membership.voting(node.members))
+    counters.gauge(
+        'control_voters', lambda: membership.voter_count(node.members)
+    )
     counters.gauge(
         'control_bundle_version', lambda: node.machine.accepted.version
     )
     counters.gauge('domains_evacuated', lambda: len(node.machine.evacuated))
-    calls = introductions.Introductions(node, routers, counters)
-    return Group(node, routers, server, calls)
+    router_calls = introductions.Introductions(node, routers, counters)
+    return Group(node, routers, server, router_calls)
 
 
 async def start(
     group: Group, settings: roles.Control, tree: supervisor.Supervisor
 ) -> None:
-    """Start a control replica under a supervisor."""
+    """Start the server and the tasks of a control replica."""
     group.server.add_insecure_port(settings.listen)
     await group.server.start()
     tree.on_stop('grpc', lambda: group.server.stop(_STOP_GRACE_S))
@@ -107,20 +109,25 @@
     tree.task('claims', group.routers.run_claims)
     tree.task('introductions', group.introductions.run)
     tree.task('suspects', group.routers.suspects.persist)
-    most = max(settings.voters, len(settings.members))
-    members = succession.Succession(group.node, group.routers, most)
-    tree.task('succession', members.run)
+    target_size = max(settings.voters, len(settings.members))
+    manager = membership_manager.MembershipManager(
+        group.node, group.routers, target_size
+    )
+    tree.task('succession', manager.run)
 
 
 def _connect(
     settings: roles.Control, name: str, address: str
 ) -> links.GrpcLink:
-    """Return a link to another replica."""
+    """Return a link to another replica.
+
+    :param address: used unless the settings map the name to another one
+    """
     target = settings.reach.get(name, address)
     return links.GrpcLink(target, settings.election_ms / 1000)
 
 
-def _closer(store: storage.Storage) -> supervisor.Stop:
+def _close_on_stop(store: storage.Storage) -> supervisor.Stop:
     async def close() -> None:
         store.close()
 
--- a/src/honeyport/control/leadership.py
+++ b/src/honeyport/control/leadership.py
@@ -1,4 +1,4 @@
-"""What a replica does while it leads: one task for each peer.
+"""Log replication by the leader, with one task for each peer.
 
 The sections named here are those of "Consensus: Bridging Theory and
 Practice" (Ongaro, 2014).
@@ -10,21 +10,21 @@
 
 import attrs
 
-from honeyport.control import durable
+from honeyport.control import durable_log
 from honeyport.control import membership
 from honeyport import errors
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
 
-_BATCH = 500  # entries in one message
+_MAX_ENTRIES_PER_MESSAGE = 500
 
 
 class Link(typing.Protocol):
-    """How a replica reaches another; raises ``OSError`` when it cannot."""
+    """RPC client for another replica; raises ``OSError`` if it fails."""
 
     async def vote(self, request: pb.VoteRequest) -> pb.VoteAnswer:
-        """Ask for a vote."""
+        """Request a vote."""
 
     async def append(self, request: pb.AppendRequest) -> pb.AppendAnswer:
         """Send entries or a heartbeat."""
@@ -33,92 +33,99 @@
         """Send a snapshot."""
 
     async def identify(self) -> pb.IdentifyAnswer:
-        """Ask which disk it has and how far its log goes."""
+        """Return the replica's disk identity and its last log index."""
 
 
-Reach = collections.abc.Callable[[pb.Replicant], Link]
-OnTerm = collections.abc.Callable[[int], None]
-OnFailed = collections.abc.Callable[[], None]
+GetLink = collections.abc.Callable[[pb.Replicant], Link]
+OnHigherTerm = collections.abc.Callable[[int], None]
+OnStorageFailed = collections.abc.Callable[[], None]
 Connect = collections.abc.Callable[[str, str], Link]
 
 
-class Links:
-    """Keeps one link to each member, as long as its address is the same.
+class LinkCache:
+    """Caches one link for each member until its address changes.
 
-    :param connect: makes a link from a name and an address
+    :param connect: creates a link from a member's name and address
     """
 
     def __init__(self, connect: Connect) -> None:
         self._connect = connect
         self._links: dict[str, tuple[str, Link]] = {}
 
-    def reach(self, member: pb.Replicant) -> Link:
-        """Return the link to a member."""
-        known = self._links.get(member.name)
-        if known is None or known[0] != member.address:
+    def get(self, member: pb.Replicant) -> Link:
+        """Return the cached link to a member, or connect to it."""
+        cached = self._links.get(member.name)
+        if cached is None or cached[0] != member.address:
             link = self._connect(member.name, member.address)
-            known = (member.address, link)
-            self._links[member.name] = known
-        return known[1]
+            cached = (member.address, link)
+            self._links[member.name] = cached
+        return cached[1]
 
 
 @attrs.define
 class Progress:
-    """What the leader knows of a peer."""
+    """Replication state of a peer, as known to the leader.
+
+    :ivar next_index: index of the next entry to send
+    :ivar match_index: index up to which the peer's log equals ours
+    :ivar contact_at: loop time at which the last answered message was sent
+    :ivar disk: identity of the disk named in its last answer
+    :ivar wakeup: set when there is something to send
+    """
 
     next_index: int
-    matched: int = 0
-    heard: float = float('-inf')  # sending time of the last answered message
+    match_index: int = 0
+    contact_at: float = float('-inf')
     disk: str = ''
-    wake: asyncio.Event = attrs.field(factory=asyncio.Event)
+    wakeup: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
 class Leadership:
-    """One term of leading, from its beginning to its end.
+    """Leader state and replication tasks of one term.
 
-    :param log: our log; its vote names the term
-    :param reach: returns the link to a member
-    :param on_term: called with a higher term that a peer has seen
-    :param on_failed: called when our disk does not take our own entries
-    :param heartbeat_s: pause between messages when there is no news
+    :param log: the replica's log; its vote holds the term
+    :param get_link: returns the link to a member
+    :param on_higher_term: called with a higher term that a peer has seen
+    :param on_storage_failed: called when our disk fails to write our entries
+    :param heartbeat_s: interval of messages when there are no new entries
     """
 
     def __init__(
         self,
         name: str,
-        log: durable.DurableLog,
-        reach: Reach,
-        on_term: OnTerm,
-        on_failed: OnFailed,
+        log: durable_log.DurableLog,
+        get_link: GetLink,
+        on_higher_term: OnHigherTerm,
+        on_storage_failed: OnStorageFailed,
         heartbeat_s: float,
     ) -> None:
         self._name = name
         self._log = log
-        self._reach = reach
-        self._on_term = on_term
-        self._on_failed = on_failed
+        self._get_link = get_link
+        self._on_higher_term = on_higher_term
+        self._on_storage_failed = on_storage_failed
         self._heartbeat_s = heartbeat_s
         self._term = log.vote.term
-        self._since = _now()
+        self._started_at = _now()
         self._progress: dict[str, Progress] = {}
-        self._dirty = asyncio.Event()
-        self._waiters: dict[int, asyncio.Future[typing.Any]] = {}
-        self._tasks = [asyncio.create_task(self._write())]
+        self._unsynced = asyncio.Event()
+        self._proposals: dict[int, asyncio.Future[typing.Any]] = {}
+        self._tasks = [asyncio.create_task(self._sync_entries())]
 
     @property
-    def since(self) -> float:
-        """The loop time at which it began."""
-        return self._since
+    def started_at(self) -> float:
+        """Loop time at which this leadership started."""
+        return self._started_at
 
     @property
     def has_committed(self) -> bool:
-        """Whether an entry of our own term is applied (6.4, step 1)."""
+        """Whether an entry of the current term is applied (6.4, step 1)."""
         return self._log.journal.term(self._log.applied) == self._term
 
-    def begin(self) -> None:
-        """Put the first entry into the log and start the peers' tasks."""
+    def start(self) -> None:
+        """Append the first entry of the term and start replication."""
         logs.emit(events.ELECTED, replica=self._name, term=self._term)
-        members = membership.pin(
+        members = membership.with_disk(
             self._log.members, self._name, self._log.identity.disk
         )
         if members != self._log.members:
@@ -127,41 +134,50 @@
             self._append(pb.Empty())
         self._start_peers()
 
-    def end(self) -> None:
-        """Stop; whoever waits for a commit learns that it is unknown."""
+    def stop(self) -> None:
+        """Stop replication and fail pending proposals with CommitUnknown."""
         logs.emit(events.STEPPED_DOWN, replica=self._name, term=self._term)
         for task in self._tasks:
             task.cancel()
-        for future in self._waiters.values():
+        for future in self._proposals.values():
             if not future.done():
                 future.set_exception(errors.CommitUnknown())
-        self._waiters.clear()
+        self._proposals.clear()
+
+    def match_indexes(self) -> dict[str, int]:
+        """Return the match index of each peer."""
+        return {
+            name: progress.match_index
+            for name, progress in self._progress.items()
+        }
 
-    def matched(self) -> dict[str, int]:
-        """Return how far each peer's log is known to match."""
-        return {name: p.matched for name, p in self._progress.items()}
+    def quorum_contact_at(self) -> float:
+        """Return the latest time since which a quorum has answered.
 
-    def quorum_heard(self) -> float:
-        """Return the latest sending time that a quorum has answered."""
-        heard = {name: p.heard for name, p in self._progress.items()}
-        heard[self._name] = _now()
-        return membership.quorum_value(self._log.members, heard)
+        It is the loop time of sending, not of the answer.
+        """
+        contact_times = {
+            name: progress.contact_at
+            for name, progress in self._progress.items()
+        }
+        contact_times[self._name] = _now()
+        return membership.quorum_value(self._log.members, contact_times)
 
     def silent_s(self, name: str) -> float:
-        """Return for how long a peer has not answered us."""
+        """Return the seconds since a peer last answered in this term."""
         progress = self._progress.get(name)
-        heard = progress.heard if progress else self._since
-        return _now() - max(heard, self._since)
+        contact_at = progress.contact_at if progress else self._started_at
+        return _now() - max(contact_at, self._started_at)
 
     def propose(self, command: typing.Any) -> asyncio.Future[typing.Any]:
-        """Put a command into the log; return what resolves its result."""
+        """Append a command; return a future for its result."""
         future = asyncio.get_running_loop().create_future()
-        self._waiters[self._append(command).index] = future
+        self._proposals[self._append(command).index] = future
         return future
 
     def resolve(self, entry: pb.Entry, result: typing.Any) -> None:
-        """Give the result of an applied entry to whoever proposed it."""
-        future = self._waiters.pop(entry.index, None)
+        """Complete the future of the proposal behind an applied entry."""
+        future = self._proposals.pop(entry.index, None)
         if future is None or future.done():
             return
         if entry.term == self._term:
@@ -169,96 +185,105 @@
         else:
             future.set_exception(errors.CommitUnknown())
 
-    def change(self, name: str, address: str) -> asyncio.Future[typing.Any]:
-        """Propose to add a learner, or to remove a member.
+    def change_membership(
+        self, name: str, address: str
+    ) -> asyncio.Future[typing.Any]:
+        """Propose adding a learner or removing a member.
 
-        :param address: where it listens; ``''`` removes it
-        :raises errors.UsageInvalid: if the change makes no sense now
+        :param address: listen address of the learner; ``''`` removes
+        :raises errors.UsageInvalid: if another change is uncommitted, the
+            leader itself is to be removed, or nothing would change
         """
-        if not self._log.members_settled:
-            raise errors.UsageInvalid('another change is not committed yet')
+        if not self._log.members_committed:
+            raise errors.UsageInvalid(
+                'another membership change is not committed yet'
+            )
         if not address and name == self._name:
             raise errors.UsageInvalid(
-                'the leader is not removed; stop it and ask the next one'
+                'the leader cannot remove itself; '
+                'stop it and ask the next leader'
             )
-        changed = membership.change(self._log.members, name, address)
-        future = self.propose(changed)
+        members = membership.add_or_remove(self._log.members, name, address)
+        future = self.propose(members)
         self._start_peers()
         return future
 
     def _append(self, command: typing.Any) -> pb.Entry:
         entry = self._log.append(command)
-        self._dirty.set()
+        self._unsynced.set()
         self._wake_peers()
         return entry
 
     def _wake_peers(self) -> None:
         for progress in self._progress.values():
-            progress.wake.set()
+            progress.wakeup.set()
 
     def _start_peers(self) -> None:
         for member in self._log.members.replicas:
             if member.name == self._name or member.name in self._progress:
                 continue
-            first = self._log.journal.last_index + 1
-            self._progress[member.name] = Progress(first)
+            next_index = self._log.journal.last_index + 1
+            self._progress[member.name] = Progress(next_index)
             task = asyncio.create_task(self._replicate(member.name))
             self._tasks.append(task)
 
-    async def _write(self) -> None:
-        """Sync our own entries, many at a time (section 10.2.1)."""
+    async def _sync_entries(self) -> None:
+        """Sync our entries in batches, beside replication (10.2.1)."""
         while True:
-            await self._dirty.wait()
-            self._dirty.clear()
+            await self._unsynced.wait()
+            self._unsynced.clear()
             try:
-                await self._log.write_rest()
+                await self._log.sync_pending()
             except errors.StorageFailed:
-                self._on_failed()  # a replica with a sound disk may lead
+                # A replica with a working disk can then lead.
+                self._on_storage_failed()
                 return
-            await self._evaluate()
+            await self._advance_commit()
 
     async def _replicate(self, name: str) -> None:
-        """Keep one peer's log like ours, as long as it is a member."""
+        """Replicate our log to one peer until it is no longer a member."""
         progress = self._progress[name]
         while (member := membership.find(self._log.members, name)) is not None:
-            progress.wake.clear()
-            sent = _now()
+            progress.wakeup.clear()
+            sent_at = _now()
             try:
                 answer = await self._send(member, progress)
             except OSError:
                 await asyncio.sleep(self._heartbeat_s)
                 continue
             if answer.term > self._term:
-                self._on_term(answer.term)
+                self._on_higher_term(answer.term)
                 return
-            self._take_answer(member, progress, answer, sent)
-            await self._evaluate()
+            self._record_answer(member, progress, answer, sent_at)
+            await self._advance_commit()
             if progress.next_index > self._log.journal.last_index:
-                await self._pause(progress)
+                await self._wait_for_entries(progress)
         self._progress.pop(name, None)
 
-    async def _pause(self, progress: Progress) -> None:
-        """Wait for news, or until a heartbeat is due."""
+    async def _wait_for_entries(self, progress: Progress) -> None:
+        """Wait for a wakeup, or until a heartbeat is due."""
         try:
-            await asyncio.wait_for(progress.wake.wait(), self._heartbeat_s)
+            await asyncio.wait_for(progress.wakeup.wait(), self._heartbeat_s)
         except TimeoutError:
             pass
 
     async def _send(
         self, member: pb.Replicant, progress: Progress
     ) -> pb.AppendAnswer:
-        link = self._reach(member)
+        link = self._get_link(member)
         journal = self._log.journal
-        previous = progress.next_index - 1
-        if previous < journal.base_index:
+        previous_index = progress.next_index - 1
+        if previous_index < journal.base_index:
             return await self._send_snapshot(link)
         return await link.append(
             pb.AppendRequest(
                 term=self._term,
                 leader=self._name,
-                previous_index=previous,
-                previous_term=journal.term(previous),
-                entries=journal.slice(progress.next_index, _BATCH),
+                previous_index=previous_index,
+                previous_term=journal.term(previous_index),
+                entries=journal.slice(
+                    progress.next_index, _MAX_ENTRIES_PER_MESSAGE
+                ),
                 commit=self._log.commit,
             )
         )
@@ -275,39 +300,39 @@
             )
         )
 
-    def _take_answer(
+    def _record_answer(
         self,
         member: pb.Replicant,
         progress: Progress,
         answer: pb.AppendAnswer,
-        sent: float,
+        sent_at: float,
     ) -> None:
         if answer.disk != progress.disk:
             progress.disk = answer.disk
-            progress.matched = 0
+            progress.match_index = 0
         progress.next_index = answer.last_index + 1
         if answer.matched:
-            progress.matched = answer.last_index
-        known = answer.disk == member.disk
-        if known or (not member.disk and answer.admitted):
-            progress.heard = max(progress.heard, sent)
-        self._readmit(member, progress, answer)
+            progress.match_index = answer.last_index
+        is_known_disk = answer.disk == member.disk
+        if is_known_disk or (not member.disk and answer.admitted):
+            progress.contact_at = max(progress.contact_at, sent_at)
+        self._propose_member_update(member, progress, answer)
 
-    def _readmit(
+    def _propose_member_update(
         self,
         member: pb.Replicant,
         progress: Progress,
         answer: pb.AppendAnswer,
     ) -> None:
-        """Change the members by one, if this answer gives a reason.
+        """Propose the membership change that a peer's answer requires.
 
-        Not before the last change is committed, nor before an entry of our
-        own term is (section 4.1 and its later correction).
+        Does nothing until the last change and an entry of the current term
+        are committed (section 4.1 and its later correction).
         """
-        if not self._log.members_settled or not self.has_committed:
+        if not self._log.members_committed or not self.has_committed:
             return
-        caught_up = answer.matched and progress.matched >= self._log.commit
-        change = membership.next_change(
+        caught_up = answer.matched and progress.match_index >= self._log.commit
+        change = membership.change_after_answer(
             self._log.members,
             member.name,
             answer.disk,
@@ -318,15 +343,15 @@
             self._append(change)
             logs.emit(events.MEMBERS_CHANGED, replica=member.name)
 
-    async def _evaluate(self) -> None:
-        """Commit what a quorum has on its disks (section 3.6.2)."""
+    async def _advance_commit(self) -> None:
+        """Advance the commit index to what a quorum stored (3.6.2)."""
         members = self._log.members
-        reached: dict[str, float] = {self._name: self._log.written}
+        stored: dict[str, float] = {self._name: self._log.synced_index}
         for name, progress in self._progress.items():
             member = membership.find(members, name)
             if member and progress.disk and member.disk in ('', progress.disk):
-                reached[name] = progress.matched
-        index = membership.quorum_value(members, reached)
+                stored[name] = progress.match_index
+        index = membership.quorum_value(members, stored)
         if index <= self._log.commit:
             return
         if self._log.journal.term(int(index)) == self._term:
--- a/src/honeyport/control/membership.py
+++ b/src/honeyport/control/membership.py
@@ -1,7 +1,7 @@
-"""Who belongs to the control group, and how that changes: one at a time.
+"""Members of the control group, changed one at a time.
 
-A member is a name together with the identity of its disk. A member whose
-disk is not yet known is one of the founders that has not been heard.
+A member is a name together with the identity of its disk. The disk is empty
+for an initial member that has not answered the leader yet.
 """
 
 import typing
@@ -11,8 +11,11 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 
-def founding(addresses: dict[str, str]) -> pb.Members:
-    """Return the founding members."""
+def initial_members(addresses: dict[str, str]) -> pb.Members:
+    """Return the initial members, all of them voters.
+
+    :param addresses: name to listen address
+    """
     return pb.Members(
         replicas=[
             pb.Replicant(name=name, address=address, voter=True)
@@ -22,15 +25,17 @@
 
 
 def find(members: pb.Members, name: str) -> pb.Replicant | None:
-    """Return a member by name."""
+    """Return the member of a name, or ``None``."""
     for member in members.replicas:
         if member.name == name:
             return member
     return None
 
 
-def admits(members: pb.Members, name: str, identity: storage.Identity) -> bool:
-    """Whether a replica with this disk may vote."""
+def is_admitted(
+    members: pb.Members, name: str, identity: storage.Identity
+) -> bool:
+    """Return whether a replica with this disk may vote."""
     member = find(members, name)
     if member is None or not member.voter:
         return False
@@ -39,11 +44,11 @@
     return identity.founded
 
 
-def voting(members: pb.Members) -> int:
-    """Return how many members vote and are known by their disk.
+def voter_count(members: pb.Members) -> int:
+    """Return the number of voters whose disk is recorded.
 
-    Right after the founding it is fewer than there are founders: each one's
-    disk is entered on its own, and one whose answer came late learns first.
+    After the bootstrap it is lower than the number of initial members until
+    the leader has recorded each one's disk.
     """
     return sum(
         member.voter and bool(member.disk) for member in members.replicas
@@ -51,7 +56,7 @@
 
 
 def is_quorum(members: pb.Members, names: set[str]) -> bool:
-    """Whether these names are more than half of the voters."""
+    """Return whether these names are more than half of the voters."""
     voters = [member.name for member in members.replicas if member.voter]
     return 2 * len(names.intersection(voters)) > len(voters)
 
@@ -59,7 +64,10 @@
 def quorum_value(
     members: pb.Members, values: typing.Mapping[str, float]
 ) -> float:
-    """Return the highest value that a quorum of voters has reached."""
+    """Return the highest value that a quorum of voters has reached.
+
+    :param values: value of each member; a missing one counts as -inf
+    """
     reached = sorted(
         values.get(member.name, float('-inf'))
         for member in members.replicas
@@ -68,8 +76,8 @@
     return reached[(len(reached) - 1) // 2] if reached else float('-inf')
 
 
-def pin(members: pb.Members, name: str, disk: str) -> pb.Members:
-    """Return the members with the disk of one of them filled in."""
+def with_disk(members: pb.Members, name: str, disk: str) -> pb.Members:
+    """Return a copy of the members with the disk of one member set."""
     changed = pb.Members()
     changed.CopyFrom(members)
     member = find(changed, name)
@@ -78,7 +86,7 @@
     return changed
 
 
-def next_change(
+def change_after_answer(
     members: pb.Members,
     name: str,
     disk: str,
@@ -86,37 +94,42 @@
     *,
     caught_up: bool,
 ) -> pb.Members | None:
-    """Return the change that an answer of a member calls for, if any.
+    """Return the members after a member's answer, or ``None`` if unchanged.
+
+    A disk that is named for the first time is recorded. A voter with
+    another disk has lost its own and becomes a learner. A learner that has
+    caught up becomes a voter.
 
-    A disk heard for the first time is filled in. A voter with another
-    disk has lost its own and becomes a learner. A learner that has caught
-    up becomes a voter.
+    :param disk: identity of the disk in the answer
+    :param admitted: whether the member considers itself admitted
+    :param caught_up: whether its log has all committed entries
     """
     member = find(members, name)
     if member is None or not disk:
         return None
-    changed = pin(members, name, disk)
-    found = find(changed, name)
-    assert found is not None
+    changed = with_disk(members, name, disk)
+    changed_member = find(changed, name)
+    assert changed_member is not None
     if member.voter and member.disk != disk:
-        found.voter = not member.disk and admitted
+        changed_member.voter = not member.disk and admitted
         return changed
     if not member.voter and (member.disk != disk or caught_up):
-        found.voter = member.disk == disk and caught_up
+        changed_member.voter = member.disk == disk and caught_up
         return changed
     return None
 
 
-def change(members: pb.Members, name: str, address: str) -> pb.Members:
+def add_or_remove(members: pb.Members, name: str, address: str) -> pb.Members:
     """Return the members with one added as a learner, or removed.
 
-    :param address: where it listens; ``''`` removes it
-    :raises errors.UsageInvalid: if it is there already, or is not there
+    :param address: listen address of the learner; ``''`` removes
+    :raises errors.UsageInvalid: if the one to add is a member already, or
+        the one to remove is none
     """
-    present = find(members, name) is not None
-    if present == bool(address):
-        state = 'is' if present else 'is not'
-        raise errors.UsageInvalid(f'{name} {state} a member')
+    is_member = find(members, name) is not None
+    if is_member == bool(address):
+        verb = 'is' if is_member else 'is not'
+        raise errors.UsageInvalid(f'{name} {verb} a member')
     changed = pb.Members()
     for member in members.replicas:
         if member.name != name:
--- /dev/null
+++ b/src/honeyport/control/membership_manager.py
@@ -0,0 +1,106 @@
+"""Adds control replicas to the group and replaces unreachable members.
+
+A process whose replica is not a member reports it when it attaches. It is
+added as a learner while there are too few members, or while one of them is
+unreachable, and becomes a voter when it has caught up. An unreachable member
+is removed only after its replacement has become a voter.
+"""
+
+import asyncio
+import collections
+
+from honeyport.control import replica
+from honeyport.control import sessions
+from honeyport import errors
+from honeyport.telemetry import events
+from honeyport.telemetry import log as logs
+from honeyport.wire import honeyport_pb2 as pb
+
+_PERIOD_S = 0.5
+_UNREACHABLE_AFTER_S = 2.5  # longer than a restart takes
+
+
+class MembershipManager:
+    """Adds and replaces members while this replica leads.
+
+    :param target_size: number of members when none is being replaced
+    """
+
+    def __init__(
+        self,
+        node: replica.Replica,
+        routers: sessions.Sessions,
+        target_size: int,
+    ) -> None:
+        self._node = node
+        self._sessions = routers
+        self._target_size = target_size
+
+    async def run(self) -> None:
+        """Check the members at intervals until cancelled."""
+        while True:
+            await asyncio.sleep(_PERIOD_S)
+            if not self._node.leads:
+                continue
+            try:
+                await self._step()
+            except errors.HoneyportError as error:
+                logs.emit(
+                    events.SUCCESSION_FAILED,
+                    code=error.code,
+                    detail=error.detail,
+                )
+
+    async def _step(self) -> None:
+        """Make at most one membership change."""
+        members = list(self._node.members.replicas)
+        unreachable = [
+            member for member in members if self._is_unreachable(member)
+        ]
+        if len(members) > self._target_size:
+            if unreachable and all(
+                member.voter for member in members if member not in unreachable
+            ):
+                await self._remove(unreachable[0])
+            return
+        is_due = unreachable or len(members) < self._target_size
+        candidate = self._choose_candidate(members)
+        if is_due and candidate and all(member.voter for member in members):
+            await self._add(candidate, unreachable)
+
+    def _is_unreachable(self, member: pb.Replicant) -> bool:
+        if member.name == self._node.name:
+            return False
+        return self._node.silent_s(member.name) > _UNREACHABLE_AFTER_S
+
+    def _choose_candidate(self, members: list[pb.Replicant]) -> str:
+        """Return the name of the replica to add next, or ``''``.
+
+        Prefers the failure domain with the fewest members, which minimises
+        the votes lost with a domain.
+        """
+        domain_by_replica = self._sessions.fleet.attached_replicas()
+        known = {member.name for member in members}
+        member_counts = collections.Counter(
+            domain
+            for name, domain in domain_by_replica.items()
+            if name in known
+        )
+        candidates = sorted(set(domain_by_replica) - known)
+        return min(
+            candidates,
+            key=lambda name: member_counts[domain_by_replica[name]],
+            default='',
+        )
+
+    async def _add(self, name: str, unreachable: list[pb.Replicant]) -> None:
+        names = [member.name for member in unreachable]
+        logs.emit(events.MEMBER_ADDED, replica=name, gone=names)
+        await self._node.change_membership(name, name)
+
+    async def _remove(self, unreachable: pb.Replicant) -> None:
+        silent_s = round(self._node.silent_s(unreachable.name), 1)
+        logs.emit(
+            events.MEMBER_REMOVED, replica=unreachable.name, silent_s=silent_s
+        )
+        await self._node.change_membership(unreachable.name, '')
--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -1,7 +1,7 @@
 """One replica of the control log: Raft with pre-vote and leader lease.
 
 The sections named here are those of "Consensus: Bridging Theory and
-Practice" (Ongaro, 2014). One task waits for elections; what a leader does
+Practice" (Ongaro, 2014). One task runs the elections; the leader's replication
 is in :mod:`honeyport.control.leadership`.
 """
 
@@ -11,9 +11,9 @@
 
 import attrs
 
-from honeyport.control import ballots
-from honeyport.control import durable
-from honeyport.control import founding
+from honeyport.control import bootstrap
+from honeyport.control import durable_log
+from honeyport.control import election
 from honeyport.control import leadership
 from honeyport.control import machine
 from honeyport.control import membership
@@ -23,7 +23,8 @@
 from honeyport import errors
 from honeyport.wire import honeyport_pb2 as pb
 
-_LEASE_SHARE = 0.9  # of the election timeout: room for drifting clocks
+# Lease duration in election timeouts; below 1 because clocks drift.
+_LEASE_FACTOR = 0.9
 
 FOLLOWER = 'follower'
 CANDIDATE = 'candidate'
@@ -32,7 +33,13 @@
 
 @attrs.frozen
 class Options:
-    """Timing of a replica, in seconds."""
+    """Options of a replica.
+
+    :ivar election_s: election timeout in seconds
+    :ivar heartbeat_s: heartbeat interval in seconds
+    :ivar snapshot_entries: applied entries between two snapshots
+    :ivar may_found: whether it may bootstrap the group with an empty disk
+    """
 
     election_s: float = 0.6
     heartbeat_s: float = 0.12
@@ -41,31 +48,31 @@
 
 
 class Replica:
-    """A member of the control group.
+    """One replica of the control group.
 
-    :param name: its name among the members
+    :param name: name of the replica among the members
     :param disk: its storage, not loaded yet
-    :param persist: runs a blocking function of the storage, in order
-    :param members: the founding members, name to address
-    :param connect: makes a link from a name and an address
-    :param seed: for the election timeouts
+    :param persist: runs blocking storage functions one after the other
+    :param members: initial members, name to address
+    :param connect: creates a link from a member's name and address
+    :param seed: seed of the random election timeouts
     """
 
     def __init__(
         self,
         name: str,
         disk: storage.Storage,
-        persist: durable.Persist,
+        persist: durable_log.Persist,
         members: dict[str, str],
         connect: leadership.Connect,
         options: Options,
         seed: int,
     ) -> None:
         self._name = name
-        self._reach = leadership.Links(connect).reach
+        self._get_link = leadership.LinkCache(connect).get
         self._options = options
         self._timer = timer.ElectionTimer(options.election_s, seed)
-        self._log = durable.DurableLog(
+        self._log = durable_log.DurableLog(
             disk,
             persist,
             members,
@@ -76,31 +83,31 @@
         self._leader = ''
         self._leadership: leadership.Leadership | None = None
         self._lock = asyncio.Lock()
-        self._obeying: set[asyncio.Task[None]] = set()
+        self._term_updates: set[asyncio.Task[None]] = set()
 
     @property
     def name(self) -> str:
-        """The name of this replica."""
+        """Name of this replica."""
         return self._name
 
     @property
     def term(self) -> int:
-        """The highest term seen."""
+        """Highest term seen."""
         return self._log.vote.term
 
     @property
     def role(self) -> str:
-        """follower, candidate or leader."""
+        """Raft role: ``follower``, ``candidate`` or ``leader``."""
         return self._role
 
     @property
     def leader_since(self) -> float:
-        """The loop time at which this replica became leader."""
-        return self._leadership.since if self._leadership else 0.0
+        """Loop time at which this replica became leader; 0 if it is not."""
+        return self._leadership.started_at if self._leadership else 0.0
 
     @property
     def commit(self) -> int:
-        """The highest index known to be committed."""
+        """Highest index known to be committed."""
         return self._log.commit
 
     @property
@@ -110,67 +117,68 @@
 
     @property
     def members(self) -> pb.Members:
-        """The members in force."""
+        """The latest members in the log, committed or not."""
         return self._log.members
 
     @property
     def leader_address(self) -> str:
-        """Where the leader listens, or ``''`` if none was heard lately.
+        """Listen address of the leader; ``''`` without recent contact.
 
-        Whoever is sent to a leader that ended loses a try, and is sent there
-        again by the next follower that is asked.
+        Callers are not redirected to a leader that may be down.
         """
-        if self._role != LEADER and not self._timer.hears_leader:
+        if self._role != LEADER and not self._timer.has_recent_leader:
             return ''
-        found = membership.find(self.members, self._leader)
-        return found.address if found else ''
+        leader = membership.find(self.members, self._leader)
+        return leader.address if leader else ''
 
     @property
     def member_addresses(self) -> list[str]:
-        """Where the members listen."""
+        """Listen addresses of the members."""
         return [member.address for member in self.members.replicas]
 
     @property
     def admitted(self) -> bool:
         """Whether this replica, with this disk, may vote."""
-        return membership.admits(self.members, self._name, self._log.identity)
+        return membership.is_admitted(
+            self.members, self._name, self._log.identity
+        )
 
     @property
     def leads(self) -> bool:
-        """Whether this replica is leader and its lease stands.
+        """Whether this replica is leader and its lease is valid.
 
         A quorum has answered a message sent less than an election timeout
-        ago, so nobody else can have been elected (section 6.4.1).
+        ago, so no other leader can have been elected (section 6.4.1).
         """
         if self._leadership is None or not self._leadership.has_committed:
             return False
-        lease_s = self._options.election_s * _LEASE_SHARE
-        return self._leadership.quorum_heard() + lease_s > _now()
+        lease_s = self._options.election_s * _LEASE_FACTOR
+        return self._leadership.quorum_contact_at() + lease_s > _now()
 
     def silent_s(self, name: str) -> float:
-        """Return for how long a peer has not answered; 0 if not leading."""
+        """Return the seconds since a peer last answered; 0 if not leader."""
         return self._leadership.silent_s(name) if self._leadership else 0.0
 
     def match_indexes(self) -> dict[str, int]:
-        """Return how far each peer's log is known to match."""
-        return self._leadership.matched() if self._leadership else {}
+        """Return the match index of each peer; empty if not leader."""
+        return self._leadership.match_indexes() if self._leadership else {}
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Run elections until cancelled, after a bootstrap if needed."""
         self._timer.start()
         try:
             is_new = not self._log.identity.founded and not self.admitted
             if is_new and self._options.may_found:
-                await founding.decide(
+                await bootstrap.try_bootstrap(
                     self._name,
                     self._log,
-                    self._reach,
+                    self._get_link,
                     self._options.heartbeat_s,
                 )
-                self._timer.wait_again()
+                self._timer.restart()
             while True:
-                await self._await_timeout()
-                self._timer.wait_again()
+                await self._wait_for_election_timeout()
+                self._timer.restart()
                 if self.admitted and self._role == FOLLOWER:
                     await self._try_campaign()
         finally:
@@ -179,8 +187,9 @@
     async def propose(self, command: typing.Any) -> typing.Any:
         """Commit a command; return the result of applying it.
 
-        :raises errors.NotLeader: if it was not put into the log
-        :raises errors.CommitUnknown: if leadership was lost meanwhile
+        :raises errors.NotLeader: if it was not appended to the log
+        :raises errors.CommitUnknown: if leadership was lost before the
+            commit; the command may be committed later
         """
         if self._leadership is None:
             raise errors.NotLeader(leader=self.leader_address)
@@ -189,16 +198,17 @@
     async def change_membership(self, name: str, address: str) -> None:
         """Add a replica as a learner, or remove it if no address is given.
 
-        :raises errors.UsageInvalid: if the change makes no sense now
+        :raises errors.NotLeader: if this replica has no valid lease
+        :raises errors.UsageInvalid: if the change is not possible now
         """
         if self._leadership is None or not self.leads:
             raise errors.NotLeader(leader=self.leader_address)
-        await self._leadership.change(name, address)
+        await self._leadership.change_membership(name, address)
 
-    # -- what other replicas ask ----------------------------------------
+    # -- RPC handlers ---------------------------------------------------
 
     async def on_identify(self) -> pb.IdentifyAnswer:
-        """Say which disk this is."""
+        """Return the identity of the disk and the end of the log."""
         return pb.IdentifyAnswer(
             name=self._name,
             disk=self._log.identity.disk,
@@ -207,13 +217,16 @@
         )
 
     async def on_vote(self, request: pb.VoteRequest) -> pb.VoteAnswer:
-        """Answer a request for a vote (section 3.4; trial: 9.6)."""
+        """Handle a vote request (section 3.4; trial: 9.6).
+
+        :raises errors.StorageFailed: if the vote was not stored
+        """
         async with self._lock:
-            granted = voting.may_vote(self._voter(), request)
+            granted = voting.grants_vote(self._voter_state(), request)
             if granted and not request.trial:
                 self._step_down()
                 await self._save_vote(request.term, request.candidate)
-                self._timer.wait_again()
+                self._timer.restart()
             return pb.VoteAnswer(
                 term=self.term,
                 granted=granted,
@@ -222,93 +235,103 @@
             )
 
     async def on_append(self, request: pb.AppendRequest) -> pb.AppendAnswer:
-        """Take a leader's entries (section 3.5)."""
+        """Handle entries or a heartbeat of a leader (section 3.5).
+
+        :raises errors.StorageFailed: if the entries were not stored
+        """
         async with self._lock:
             if request.term < self.term:
                 return self._append_answer(False, 0)
-            await self._follow(request.term, request.leader)
+            await self._follow_leader(request.term, request.leader)
             journal = self._log.journal
             if request.previous_index < journal.base_index:
                 return self._append_answer(False, journal.base_index)
             if journal.term(request.previous_index) != request.previous_term:
-                hint = min(
+                last_index = min(
                     request.previous_index - 1,
                     journal.conflict_hint(self.commit),
                 )
-                return self._append_answer(False, max(0, hint))
+                return self._append_answer(False, max(0, last_index))
             await self._log.merge(request.entries)
             matched = request.previous_index + len(request.entries)
             await self._log.advance(min(request.commit, matched))
-            self._timer.hear()
+            self._timer.record_leader_contact()
             return self._append_answer(True, matched)
 
     async def on_install(self, request: pb.InstallRequest) -> pb.AppendAnswer:
-        """Take a leader's snapshot (section 5)."""
+        """Handle a snapshot of a leader (section 5).
+
+        :raises errors.StorageFailed: if the snapshot was not stored
+        """
         async with self._lock:
             if request.term < self.term:
                 return self._append_answer(False, 0)
-            await self._follow(request.term, request.leader)
+            await self._follow_leader(request.term, request.leader)
             if request.index > self._log.applied:
                 await self._log.install(pb.State.FromString(request.state))
-            self._timer.hear()
+            self._timer.record_leader_contact()
             return self._append_answer(True, request.index)
 
     # -- elections -------------------------------------------------------
 
-    async def _await_timeout(self) -> None:
-        """Return when nothing was heard for an election timeout."""
+    async def _wait_for_election_timeout(self) -> None:
+        """Wait until a follower's election timeout has passed."""
         while True:
             if self._leadership is not None:
                 await asyncio.sleep(self._options.election_s / 2)
                 self._check_quorum()
                 continue
-            if await self._timer.expire():
+            if await self._timer.wait_for_timeout():
                 return
 
     def _check_quorum(self) -> None:
-        """Give up leading if a quorum is silent (section 6.2)."""
+        """Step down if a quorum does not answer (section 6.2)."""
         if self._leadership is None:
             return
-        silent_s = _now() - self._leadership.quorum_heard()
+        silent_s = _now() - self._leadership.quorum_contact_at()
         if silent_s > 2 * self._options.election_s:
             self._step_down()
 
     async def _try_campaign(self) -> None:
-        """Stand for election, unless our disk takes no vote."""
+        """Campaign; step down if our disk cannot store the vote."""
         try:
             await self._campaign()
         except errors.StorageFailed:
             self._step_down()
 
     async def _campaign(self) -> None:
-        early = self._timer.is_early
+        recently_started = self._timer.recently_started
         term = self.term + 1
-        count = await self._poll(term, trial=True, early=early)
-        if not count.won or (early and not count.unopposed):
-            self._timer.wait_again()
+        result = await self._request_votes(
+            term, trial=True, recently_started=recently_started
+        )
+        if not result.won or (recently_started and not result.unopposed):
+            self._timer.restart()
             return
         async with self._lock:
-            # A vote given during the trial goes first: a higher term now
-            # would unseat whoever wins by it, and all would wait anew.
-            if self._timer.hears_leader or self.term + 1 != term:
+            # If we voted for another candidate during the trial, a higher
+            # term would depose the leader that it may have become.
+            if self._timer.has_recent_leader or self.term + 1 != term:
                 return
             self._role = CANDIDATE
             self._leader = ''
             await self._save_vote(term, self._name)
-        count = await self._poll(term, trial=False, early=early)
-        if count.term > self.term:
-            await self._obey(count.term)
+        result = await self._request_votes(
+            term, trial=False, recently_started=recently_started
+        )
+        if result.term > self.term:
+            await self._adopt_term(result.term)
         async with self._lock:
             if self.term != term or self._role != CANDIDATE:
                 return
             self._role = FOLLOWER
-            self._timer.wait_again()
-            if count.won and (count.unopposed or not early):
-                self._lead()
+            self._timer.restart()
+            if result.won and (result.unopposed or not recently_started):
+                self._become_leader()
 
-    async def _poll(
-        self, term: int, *, trial: bool, early: bool
-    ) -> ballots.Count:
+    async def _request_votes(
+        self, term: int, *, trial: bool, recently_started: bool
+    ) -> election.Result:
         journal = self._log.journal
         request = pb.VoteRequest(
             term=term,
@@ -316,77 +339,77 @@
             last_index=journal.last_index,
             last_term=journal.last_term,
             trial=trial,
-            unanimous=early,
+            unanimous=recently_started,
         )
-        return await ballots.poll(
-            self._name, self.members, request, self._reach
+        return await election.request_votes(
+            self._name, self.members, request, self._get_link
         )
 
-    def _voter(self) -> voting.Voter:
+    def _voter_state(self) -> voting.VoterState:
         journal = self._log.journal
-        return voting.Voter(
+        return voting.VoterState(
             admitted=self.admitted,
-            hears_leader=self._timer.hears_leader,
-            is_early=self._timer.is_early,
+            has_recent_leader=self._timer.has_recent_leader,
+            recently_started=self._timer.recently_started,
             is_leader=self._role == LEADER,
             has_lease=self.leads,
             vote=self._log.vote,
-            last=(journal.last_term, journal.last_index),
+            last_entry=(journal.last_term, journal.last_index),
         )
 
-    async def _follow(self, term: int, leader: str) -> None:
-        """Accept a term and its leader."""
+    async def _follow_leader(self, term: int, leader: str) -> None:
+        """Adopt a term and its leader, as a follower."""
         if term > self.term or self._role != FOLLOWER:
             self._step_down()
         if term > self.term:
             await self._save_vote(term, '')
         self._leader = leader
-        self._timer.hear()
+        self._timer.record_leader_contact()
 
-    async def _obey(self, term: int) -> None:
-        """Accept a higher term whose leader is not known."""
+    async def _adopt_term(self, term: int) -> None:
+        """Adopt a higher term whose leader is not known."""
         async with self._lock:
             if term > self.term:
-                # If our disk does not take it, the next message tries again.
+                # After a failed write, the next message tries again.
                 with contextlib.suppress(errors.StorageFailed):
-                    await self._follow(term, '')
+                    await self._follow_leader(term, '')
 
     async def _save_vote(self, term: int, candidate: str) -> None:
         await self._log.save_vote(storage.Vote(term, candidate))
 
-    # -- leading ---------------------------------------------------------
+    # -- leadership ------------------------------------------------------
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         self._role = LEADER
         self._leader = self._name
         self._leadership = leadership.Leadership(
             self._name,
             self._log,
-            self._reach,
-            self._on_term,
+            self._get_link,
+            self._on_higher_term,
             self._step_down,
             self._options.heartbeat_s,
         )
-        self._leadership.begin()
+        self._leadership.start()
 
     def _step_down(self) -> None:
         if self._leadership is not None:
-            self._leadership.end()
+            self._leadership.stop()
             self._leadership = None
             self._leader = ''
         self._role = FOLLOWER
 
-    def _on_term(self, term: int) -> None:
-        """Obey a higher term from a task that this will end."""
-        task = asyncio.create_task(self._obey(term))
-        self._obeying.add(task)
-        task.add_done_callback(self._obeying.discard)
+    def _on_higher_term(self, term: int) -> None:
+        """Adopt a higher term in a new task; the caller's is cancelled."""
+        task = asyncio.create_task(self._adopt_term(term))
+        self._term_updates.add(task)
+        task.add_done_callback(self._term_updates.discard)
 
     def _on_applied(self, entry: pb.Entry, result: typing.Any) -> None:
         if self._leadership is not None:
             self._leadership.resolve(entry, result)
 
-    # -- shared ----------------------------------------------------------
+    # -- helpers ---------------------------------------------------------
 
     def _append_answer(
         self, matched: bool, last_index: int
--- a/src/honeyport/control/storage.py
+++ b/src/honeyport/control/storage.py
@@ -1,17 +1,17 @@
-"""What a replica keeps on its disk.
+"""Persistent storage of a replica: its identity, vote, log and snapshot.
 
-One data folder holds three files: ``identity`` says which disk this is,
+One data folder holds three files: ``identity`` identifies the disk,
 ``snapshot`` holds the state up to an index, and ``log`` the records after
 it. A record is a header of three 32-bit numbers, little-endian: length,
 checksum of the length, checksum of the payload; then the payload: one
 byte for the kind, and a message.
 
-A crash can leave the last record incomplete, since it was never synced;
-it is cut. Any other damage is a reason not to start: what was synced may
-have been promised to somebody.
+An incomplete last record, as after a crash, was never synced and is
+removed. Any other damage is an error, since synced records may have been
+acknowledged.
 
-A write that fails, as on a full disk, leaves the log as long as it was at
-the last sync: what came after is cut before the next write.
+After a failed write, as on a full disk, the log is truncated to its length
+at the last sync before the next write.
 """
 
 import json
@@ -31,14 +31,17 @@
 
 _HEADER = struct.Struct('<III')
 _LENGTH = struct.Struct('<I')
-_VOTE = struct.Struct('<Q')
+_VOTE_TERM = struct.Struct('<Q')
 _KIND_VOTE = b'v'
 _KIND_ENTRY = b'e'
 
 
 @attrs.frozen
 class Vote:
-    """The term a replica has reached and whom it voted for in it."""
+    """The highest term seen, and the candidate voted for in it.
+
+    :ivar candidate: ``''`` if the replica has not voted in the term
+    """
 
     term: int = 0
     candidate: str = ''
@@ -46,10 +49,12 @@
 
 @attrs.frozen
 class Identity:
-    """Which disk this is, and whether it took part in the founding.
+    """Identity of a disk, and its part in the bootstrap of the group.
 
-    :ivar founders: the founding members, name to address; empty before the
-        founding, and on disks that were founded before this was noted
+    :ivar disk: random identifier, created with the data folder
+    :ivar founded: whether it took part in the bootstrap
+    :ivar founders: initial members, name to address; empty before the
+        bootstrap, and on disks of versions that did not record them
     """
 
     disk: str
@@ -59,7 +64,10 @@
 
 @attrs.define
 class Contents:
-    """What was found on the disk."""
+    """Contents of a data folder.
+
+    :ivar entries: log entries after the snapshot
+    """
 
     vote: Vote = attrs.field(factory=Vote)
     snapshot: pb.State | None = None
@@ -69,8 +77,9 @@
 class Storage:
     """The data folder of one replica. Every method blocks.
 
-    :param folder: the data folder; made if it is not there
-    :raises errors.StorageDamaged: if another process holds the folder
+    :param folder: the data folder; created if missing
+    :param files: the file system, if not that of the operating system
+    :raises errors.StorageDamaged: if another process uses the folder
     """
 
     def __init__(
@@ -89,32 +98,36 @@
             ) from None
         self._log_path = self._folder / 'log'
         self._log: control_files.Handle | None = None
-        self._synced = 0  # length of the log, in bytes
+        self._synced_bytes = 0  # length of the log at its last sync
         self._identity = self._load_identity()
 
     @property
     def identity(self) -> Identity:
-        """The identity of this disk."""
+        """Identity of this disk."""
         return self._identity
 
-    def found(self, founders: dict[str, str]) -> None:
-        """Note that this disk took part in the founding, and who else."""
+    def mark_founded(self, founders: dict[str, str]) -> None:
+        """Record the bootstrap and the initial members.
+
+        :param founders: initial members, name to address
+        :raises errors.StorageFailed: if the write failed
+        """
         founded = attrs.evolve(self._identity, founded=True, founders=founders)
         self._write_identity(founded)
         self._identity = founded
 
     def load(self) -> Contents:
-        """Read everything, cut a torn tail, and open the log for writing.
+        """Read all contents, remove a torn record, and open the log.
 
         :raises errors.StorageDamaged: on any other damage
         """
         contents = Contents(snapshot=self._load_snapshot())
         data = self._files.read(self._log_path) or b''
-        end = self._replay(data, contents)
+        end = self._load_records(data, contents)
         if end < len(data):
             logs.emit(events.TAIL_CUT, at=end, length=len(data), file='log')
-        self._synced = end
-        self._log = self._reopen()
+        self._synced_bytes = end
+        self._log = self._open_log()
         self._log.sync()
         self._files.sync_folder(self._folder)
         return contents
@@ -122,12 +135,12 @@
     def append(
         self, entries: typing.Sequence[pb.Entry], vote: Vote | None = None
     ) -> None:
-        """Write a vote and entries; return once they are synced.
+        """Append a vote and entries to the log, and sync it.
 
-        An entry replaces the one with its index and all after it.
+        An entry replaces the one with its index and all later ones.
 
-        :raises errors.StorageFailed: if the disk did not take them; they
-            may be on it all the same after a restart
+        :raises errors.StorageFailed: if the write or sync failed; the
+            records may nevertheless be present after a restart
         """
         chunks = []
         if vote is not None:
@@ -136,13 +149,13 @@
         data = b''.join(chunks)
         try:
             if self._log is None:
-                self._log = self._reopen()
+                self._log = self._open_log()
             self._log.write(data)
             self._log.sync()
         except OSError as error:
             self._close_log()
             raise errors.StorageFailed(f'{self._log_path}: {error}') from None
-        self._synced += len(data)
+        self._synced_bytes += len(data)
 
     def compact(
         self,
@@ -152,38 +165,38 @@
     ) -> None:
         """Replace the log by a snapshot and the entries after it.
 
-        :raises errors.StorageFailed: if the disk did not take them; the
-            log is as it was
+        :raises errors.StorageFailed: if a write failed; the log still has
+            all its entries
         """
         payload = snapshot.SerializeToString()
         checksum = _LENGTH.pack(zlib.crc32(payload))
         chunks = [_pack_vote(vote)]
         chunks += [_pack_entry(entry) for entry in entries]
-        log = b''.join(chunks)
+        log_data = b''.join(chunks)
         try:
-            self._replace('snapshot', checksum + payload)
-            self._replace('log', log)
+            self._replace_file('snapshot', checksum + payload)
+            self._replace_file('log', log_data)
         except OSError as error:
             raise errors.StorageFailed(f'{self._folder}: {error}') from None
         finally:
-            # Also after a failure: the new log may be in its place.
+            # A failed call may have replaced the log already.
             self._close_log()
-            if self._files.read(self._log_path) == log:
-                self._synced = len(log)
+            if self._files.read(self._log_path) == log_data:
+                self._synced_bytes = len(log_data)
 
     def close(self) -> None:
-        """Close the files and let go of the folder."""
+        """Close the log and unlock the folder."""
         self._close_log()
         self._unlock()
 
-    def _reopen(self) -> control_files.Handle:
-        """Open the log behind its last synced byte.
+    def _open_log(self) -> control_files.Handle:
+        """Open the log for appending after its last synced byte.
 
-        A cut is synced together with the next write.
+        The truncation is synced together with the next write.
         """
         data = self._files.read(self._log_path)
-        if data is not None and len(data) > self._synced:
-            self._files.truncate(self._log_path, self._synced)
+        if data is not None and len(data) > self._synced_bytes:
+            self._files.truncate(self._log_path, self._synced_bytes)
         return self._files.open(self._log_path, fresh=False)
 
     def _close_log(self) -> None:
@@ -191,46 +204,51 @@
         if log is not None:
             log.close()
 
-    def _replay(self, data: bytes, contents: Contents) -> int:
-        base = contents.snapshot.index if contents.snapshot else 0
+    def _load_records(self, data: bytes, contents: Contents) -> int:
+        base_index = contents.snapshot.index if contents.snapshot else 0
         offset = 0
         while offset < len(data):
-            payload = self._record(data, offset)
+            payload = self._read_payload(data, offset)
             if payload is None:
                 return offset
             offset += _HEADER.size + len(payload)
-            self._take(payload, base, contents)
+            self._load_record(payload, base_index, contents)
         return offset
 
-    def _record(self, data: bytes, offset: int) -> bytes | None:
-        """Return the payload at an offset, or ``None`` for a torn tail."""
-        rest = len(data) - offset
+    def _read_payload(self, data: bytes, offset: int) -> bytes | None:
+        """Return the payload at an offset, or ``None`` if it is torn.
+
+        :raises errors.StorageDamaged: if a checksum does not match
+        """
+        available_bytes = len(data) - offset
         if not any(data[offset:]):
             return None
-        if rest < _HEADER.size:
+        if available_bytes < _HEADER.size:
             return None
         length, length_sum, checksum = _HEADER.unpack_from(data, offset)
         if zlib.crc32(_LENGTH.pack(length)) != length_sum:
-            raise self._damage('header', offset)
+            raise self._damaged_record('header', offset)
         start = offset + _HEADER.size
-        if rest < _HEADER.size + length:
+        if available_bytes < _HEADER.size + length:
             return None
         payload = data[start : start + length]
         if zlib.crc32(payload) != checksum:
-            raise self._damage('payload', offset)
+            raise self._damaged_record('payload', offset)
         return payload
 
-    def _take(self, payload: bytes, base: int, contents: Contents) -> None:
+    def _load_record(
+        self, payload: bytes, base_index: int, contents: Contents
+    ) -> None:
         kind, body = payload[:1], payload[1:]
         if kind == _KIND_VOTE:
-            (term,) = _VOTE.unpack_from(body)
-            candidate = body[_VOTE.size :].decode()
+            (term,) = _VOTE_TERM.unpack_from(body)
+            candidate = body[_VOTE_TERM.size :].decode()
             contents.vote = Vote(term, candidate)
             return
         entry = pb.Entry.FromString(body)
-        if entry.index <= base:
+        if entry.index <= base_index:
             return
-        position = entry.index - base - 1
+        position = entry.index - base_index - 1
         if position > len(contents.entries):
             raise errors.StorageDamaged(
                 f'{self._log_path}: entry {entry.index} follows a gap'
@@ -254,10 +272,12 @@
         if data is not None:
             return self._decode_identity(path, data)
         if self._files.read(self._log_path) is not None:
-            raise errors.StorageDamaged(f'{path} is missing beside a log')
-        fresh = Identity(uuid.uuid4().hex, False)
-        self._write_identity(fresh)
-        return fresh
+            raise errors.StorageDamaged(
+                f'{path} is missing although there is a log'
+            )
+        identity = Identity(uuid.uuid4().hex, False)
+        self._write_identity(identity)
+        return identity
 
     def _decode_identity(self, path: pathlib.Path, data: bytes) -> Identity:
         try:
@@ -268,25 +288,25 @@
     def _write_identity(self, identity: Identity) -> None:
         text = json.dumps(attrs.asdict(identity))
         try:
-            self._replace('identity', text.encode())
+            self._replace_file('identity', text.encode())
         except OSError as error:
             raise errors.StorageFailed(f'{self._folder}: {error}') from None
 
-    def _replace(self, name: str, data: bytes) -> None:
-        fresh = self._folder / f'{name}.new'
-        file = self._files.open(fresh, fresh=True)
+    def _replace_file(self, name: str, data: bytes) -> None:
+        new_path = self._folder / f'{name}.new'
+        file = self._files.open(new_path, fresh=True)
         try:
             file.write(data)
             file.sync()
         finally:
             file.close()
-        self._files.rename(fresh, self._folder / name)
+        self._files.rename(new_path, self._folder / name)
         self._files.sync_folder(self._folder)
 
-    def _damage(self, part: str, offset: int) -> errors.StorageDamaged:
+    def _damaged_record(self, part: str, offset: int) -> errors.StorageDamaged:
         return errors.StorageDamaged(
-            f'{self._log_path}: {part} of the record at byte {offset} is '
-            'damaged'
+            f'{self._log_path}: checksum mismatch in the {part} '
+            f'of the record at byte {offset}'
         )
 
 
@@ -300,7 +320,9 @@
 
 
 def _pack_vote(vote: Vote) -> bytes:
-    return _pack(_KIND_VOTE, _VOTE.pack(vote.term) + vote.candidate.encode())
+    return _pack(
+        _KIND_VOTE, _VOTE_TERM.pack(vote.term) + vote.candidate.encode()
+    )
 
 
 def _pack_entry(entry: pb.Entry) -> bytes:
--- a/src/honeyport/control/timer.py
+++ b/src/honeyport/control/timer.py
@@ -1,65 +1,75 @@
-"""When a follower may stand for election, and when it may give a vote."""
+"""Timer after which a follower starts an election."""
 
 import asyncio
 import random
 
-# Between which shares of the election timeout a follower waits: Raft's
-# own, and while nobody can hold a lease but who would say so.
-_SHARES = (1.0, 2.0)
-_EARLY_SHARES = (0.1, 0.5)
+# Range of the random wait, in election timeouts; shorter just after a start,
+# when a candidate needs the answers of all voters.
+_WAIT_FACTORS = (1.0, 2.0)
+_STARTUP_WAIT_FACTORS = (0.1, 0.5)
 _NEVER = float('-inf')
 
 
 class ElectionTimer:
-    """What a replica last heard of leaders, and how long it waits.
+    """Randomised election timer of a replica.
 
-    :param election_s: the election timeout
-    :param seed: for the random part of a wait
+    :param election_s: election timeout in seconds
+    :param seed: seed of the random waits
     """
 
     def __init__(self, election_s: float, seed: int) -> None:
         self._election_s = election_s
         self._random = random.Random(seed)
-        self._heard = _NEVER  # from a leader
-        self._waited = _NEVER  # when a wait began
-        self._started = _NEVER
+        self._leader_contact_at = _NEVER
+        self._wait_started_at = _NEVER
+        self._started_at = _NEVER
 
     @property
-    def hears_leader(self) -> bool:
-        """Whether a leader was heard within an election timeout."""
-        return _now() - self._heard < self._election_s
+    def has_recent_leader(self) -> bool:
+        """Whether a leader sent a message within the election timeout."""
+        return _now() - self._leader_contact_at < self._election_s
 
     @property
-    def is_early(self) -> bool:
-        """Whether a vote given before a restart may still be fresh.
+    def recently_started(self) -> bool:
+        """Whether the replica started within the last election timeout.
 
-        A leader that we answered before the restart may still hold its
-        lease, so no vote is given for an election timeout. But if all
-        voters vote for the same candidate, or say that they may not vote,
-        there is no such leader.
+        A leader that it answered before the restart may still hold its
+        lease, so it grants no vote meanwhile, except to a candidate that
+        needs all voters to grant their votes or to be not admitted: then
+        no other leader can hold a lease.
         """
-        return _now() - self._started < self._election_s
+        return _now() - self._started_at < self._election_s
 
     def start(self) -> None:
-        """Note that this replica has just started."""
-        self._started = self._waited = _now()
-
-    def hear(self) -> None:
-        """Note that a leader was heard."""
-        self._heard = _now()
-
-    def wait_again(self) -> None:
-        """Begin a new wait: a vote was given, or an election is over."""
-        self._waited = _now()
-
-    async def expire(self) -> bool:
-        """Sleep through one wait; return whether nothing was heard."""
-        shares = _EARLY_SHARES if self.is_early else _SHARES
-        timeout = self._election_s * self._random.uniform(*shares)
-        left = max(self._heard, self._waited) + timeout - _now()
-        if left <= 0:
+        """Start the first wait of this replica."""
+        self._started_at = self._wait_started_at = _now()
+
+    def record_leader_contact(self) -> None:
+        """Record a message of a leader, which starts a new wait."""
+        self._leader_contact_at = _now()
+
+    def restart(self) -> None:
+        """Start a new wait, after granting a vote or after an election."""
+        self._wait_started_at = _now()
+
+    async def wait_for_timeout(self) -> bool:
+        """Sleep until the wait ends, unless it has ended.
+
+        :returns: ``True`` without sleeping if the wait has ended; ``False``
+            after sleeping, since the wait may have been restarted meanwhile
+        """
+        factors = (
+            _STARTUP_WAIT_FACTORS if self.recently_started else _WAIT_FACTORS
+        )
+        wait_s = self._election_s * self._random.uniform(*factors)
+        remaining_s = (
+            max(self._leader_contact_at, self._wait_started_at)
+            + wait_s
+            - _now()
+        )
+        if remaining_s <= 0:
             return True
-        await asyncio.sleep(left)
+        await asyncio.sleep(remaining_s)
         return False
 
 
--- a/src/honeyport/control/voting.py
+++ b/src/honeyport/control/voting.py
@@ -1,4 +1,4 @@
-"""Whether a replica gives its vote.
+"""The rules by which a replica grants its vote.
 
 The sections named here are those of "Consensus: Bridging Theory and
 Practice" (Ongaro, 2014).
@@ -11,49 +11,51 @@
 
 
 @attrs.frozen(kw_only=True)
-class Voter:
-    """What a replica knows when it is asked for its vote.
-
-    :ivar admitted: whether it may vote at all, with this disk
-    :ivar hears_leader: whether a leader was heard within an election timeout
-    :ivar is_early: whether a vote given before a restart may still be fresh
-    :ivar is_leader: whether it leads, with or without a lease
-    :ivar has_lease: whether it leads and its lease stands
-    :ivar vote: the highest term seen, and the vote given in it
-    :ivar last: term and index of its last entry
+class VoterState:
+    """State of a replica that decides whether it grants a vote.
+
+    :ivar admitted: whether it is a voter, with its present disk
+    :ivar has_recent_leader: whether a leader sent a message within the last
+        election timeout
+    :ivar recently_started: whether it started less than an election timeout
+        ago
+    :ivar is_leader: whether it is leader, with or without a lease
+    :ivar has_lease: whether it is leader and its lease is valid
+    :ivar vote: highest term seen, and the candidate voted for in it
+    :ivar last_entry: term and index of its last log entry
     """
 
     admitted: bool
-    hears_leader: bool
-    is_early: bool
+    has_recent_leader: bool
+    recently_started: bool
     is_leader: bool
     has_lease: bool
     vote: storage.Vote
-    last: tuple[int, int]
+    last_entry: tuple[int, int]
 
 
-def may_vote(voter: Voter, request: pb.VoteRequest) -> bool:
-    """Whether a candidate gets the vote (section 3.4; trial: 9.6)."""
-    if not voter.admitted:
+def grants_vote(state: VoterState, request: pb.VoteRequest) -> bool:
+    """Return whether a vote is granted (section 3.4; trial: 9.6)."""
+    if not state.admitted:
         return False
-    if voter.hears_leader:
-        return _repeats_vote(voter, request)
-    if voter.is_early and not request.unanimous:
-        return _repeats_vote(voter, request)
-    if request.unanimous and voter.is_leader:
+    if state.has_recent_leader:
+        return _is_repeated_vote(state, request)
+    if state.recently_started and not request.unanimous:
+        return _is_repeated_vote(state, request)
+    if request.unanimous and state.is_leader:
         return False
-    if voter.has_lease or request.term < voter.vote.term:
+    if state.has_lease or request.term < state.vote.term:
         return False
-    if request.term == voter.vote.term and not request.trial:
-        if voter.vote.candidate not in ('', request.candidate):
+    if request.term == state.vote.term and not request.trial:
+        if state.vote.candidate not in ('', request.candidate):
             return False
-    return (request.last_term, request.last_index) >= voter.last
+    return (request.last_term, request.last_index) >= state.last_entry
 
 
-def _repeats_vote(voter: Voter, request: pb.VoteRequest) -> bool:
-    """Whether the vote was given to the same candidate already."""
+def _is_repeated_vote(state: VoterState, request: pb.VoteRequest) -> bool:
+    """Return whether the vote was already given to this candidate."""
     return (
         not request.trial
-        and request.term == voter.vote.term
-        and request.candidate == voter.vote.candidate
+        and request.term == state.vote.term
+        and request.candidate == state.vote.candidate
     )
