--- a/src/honeyport/control/claims.py
+++ b/src/honeyport/control/claims.py
@@ -1,9 +1,9 @@
-"""Claims: who may run a non-repeatable request, and what came of it.
+"""Claims of idempotency keys: holder and outcome of non-repeatable requests.
 
-A key is a UUIDv7, so it tells when it was issued. All keys issued up to
-the *horizon* are forgotten and refused for ever: the horizon only moves
-forward, whatever clocks and retention settings do, so a forgotten key can
-never be taken for a new one.
+A key is a UUIDv7, which contains its time of issue. All keys issued up to the
+*horizon* are deleted and refused from then on. The horizon only moves forward,
+whatever happens to clocks and retention settings, so a deleted key is never
+accepted as a new one.
 """
 
 import typing
@@ -19,13 +19,21 @@
 
 @attrs.define
 class Claim:
-    """One key's record."""
+    """The record of one key.
+
+    :ivar digest: of the request that claimed the key
+    :ivar holder: router, incarnation and request, separated by ``/``
+    :ivar issued_s: seconds since the epoch
+    :ivar done: whether the outcome is recorded
+    :ivar lost: whether the request was sent and its outcome is unknown
+    :ivar outcome: the recorded answer
+    """
 
     digest: str
     holder: str
     issued_s: float
     done: bool = False
-    lost: bool = False  # sent, and nobody can learn what became of it
+    lost: bool = False
     outcome: bytes = b''
 
 
@@ -41,31 +49,31 @@
         return len(self._claims)
 
     def holder(self, key: str) -> str:
-        """Return who holds a key, or ``''``."""
+        """Return the holder of a key, or ``''`` if it is not claimed."""
         claim = self._claims.get(key)
         return claim.holder if claim else ''
 
     def apply(self, batch: pb.ClaimBatch) -> list[pb.ClaimAnswer]:
-        """Carry out the requests of a log entry, in order."""
+        """Apply the requests of a log entry, in order."""
         self._now_s = max(self._now_s, batch.now_s)
         answers = []
         for request in batch.requests:
-            state, outcome = self._apply_one(request)
+            state, outcome = self._apply_request(request)
             answers.append(
                 pb.ClaimAnswer(id=request.id, state=state, outcome=outcome)
             )
-        self._forget()
+        self._delete_expired()
         return answers
 
     def save(self, state: pb.State) -> None:
-        """Write the claims into a snapshot."""
+        """Add the claims to a snapshot."""
         state.now_s = self._now_s
         state.horizon_s = self._horizon_s
         for key, claim in self._claims.items():
             state.claims.add(key=key, **attrs.asdict(claim))
 
     def restore(self, state: pb.State) -> None:
-        """Take the claims of a snapshot."""
+        """Replace the claims with those of a snapshot."""
         self._now_s = state.now_s
         self._horizon_s = state.horizon_s
         self._claims = {
@@ -80,7 +88,7 @@
             for claim in state.claims
         }
 
-    def _apply_one(
+    def _apply_request(
         self, request: pb.ClaimRequest
     ) -> tuple['pb.ClaimAnswer.State', bytes]:
         if request.action == _Action.CLAIM:
@@ -121,12 +129,11 @@
             return _State.GRANTED, b''
         return _State.RUNNING, b''
 
-    def _forget(self) -> None:
-        """Drop the claims behind the horizon, oldest first.
+    def _delete_expired(self) -> None:
+        """Delete the claims up to the horizon, in order of insertion.
 
-        Keys come in nearly in the order of their issue; one that came
-        early in the order of time but late in the mapping is dropped a
-        little later, and is refused by the horizon all the same.
+        Keys arrive nearly in order of issue. An older key behind a newer one
+        is deleted later, and refused because of the horizon meanwhile.
         """
         while self._claims:
             key = next(iter(self._claims))
@@ -136,9 +143,10 @@
 
 
 def issue_time_s(key: str) -> float | None:
-    """Return when a UUIDv7 was issued, in seconds since the epoch.
+    """Return the time at which a UUIDv7 was issued.
 
-    :returns: ``None`` if the key is not a UUIDv7 (RFC 9562, section 5.7)
+    :returns: seconds since the epoch, or ``None`` if the key is not a UUIDv7
+        (RFC 9562, section 5.7)
     """
     try:
         value = uuid.UUID(key)
@@ -149,14 +157,14 @@
     return (value.int >> 80) / 1000.0
 
 
-def new_key(now_s: float, random: typing.Callable[[int], int]) -> str:
-    """Return a UUIDv7.
+def new_key(now_s: float, random_bits: typing.Callable[[int], int]) -> str:
+    """Return a new UUIDv7 (RFC 9562, section 5.7).
 
     :param now_s: seconds since the epoch
-    :param random: returns that many random bits, such as
+    :param random_bits: returns the given number of random bits, such as
         ``secrets.randbits``
     """
     value = (int(now_s * 1000) & ((1 << 48) - 1)) << 80
-    value |= 0x7 << 76 | random(12) << 64
-    value |= 0b10 << 62 | random(62)
+    value |= 0x7 << 76 | random_bits(12) << 64
+    value |= 0b10 << 62 | random_bits(62)
     return str(uuid.UUID(int=value))
--- a/src/honeyport/control/orders.py
+++ b/src/honeyport/control/orders.py
@@ -1,14 +1,13 @@
-"""Orders to engines: load a model's version and adapters, take a role.
+"""Reconciles the engines with the bundle: model version, adapters and role.
 
-Only the leader orders. It reads an engine's state, compares it with what
-the accepted bundle wants, and orders what is missing; an order may be
-repeated without harm. Every order carries the leader's term as fencing
-number. An engine that ignores the number may still carry out the order of
-a former leader that was frozen on the way; the next reading finds that,
-and the order is given anew.
+Only the leader does this. It reads the state of each engine, compares it with
+the accepted bundle and sends an order for what differs; orders are idempotent.
+Every order carries the leader's term as fencing number. An engine that ignores
+the number may carry out the delayed order of a former leader; the next reading
+detects that, and the order is sent again.
 
-Loads are few at a time: the weight store is rate-limited, and engines
-that load do not serve.
+The number of engines that load at the same time is limited: the weight store
+is rate-limited, and an engine does not serve while it loads.
 """
 
 import asyncio
@@ -28,13 +27,16 @@
 from honeyport.telemetry import metrics
 
 _TIMEOUT_S = 2.0
-_PAUSE_S = 0.2
-_READERS = 16  # engines read at once
+_POLL_INTERVAL_S = 0.2
+_MAX_CONCURRENT_READS = 16
 
 
 @attrs.frozen
-class Wanted:
-    """What an engine should be."""
+class DesiredState:
+    """The state that the bundle prescribes for an engine.
+
+    The fields are those of an order's JSON body.
+    """
 
     model: str
     version: str
@@ -43,25 +45,29 @@
 
 
 @attrs.frozen
-class Reading:
-    """What an engine says it is."""
+class ObservedState:
+    """The state that an engine reports.
+
+    :ivar models: loaded versions by model
+    :ivar loading: whether it carries out an order now
+    """
 
     models: dict[str, str]
     adapters: tuple[str, ...]
     role: str
     loading: bool
 
-    def meets(self, wanted: Wanted) -> bool:
-        """Whether nothing is left to order."""
+    def matches(self, desired: DesiredState) -> bool:
+        """Whether the engine is in the desired state."""
         return (
-            self.models == {wanted.model: wanted.version}
-            and set(self.adapters) == set(wanted.adapters)
-            and self.role == wanted.role
+            self.models == {desired.model: desired.version}
+            and set(self.adapters) == set(desired.adapters)
+            and self.role == desired.role
         )
 
 
 class EngineReconciler:
-    """Keeps all engines as the bundle wants them."""
+    """Brings all engines to the state that the bundle prescribes."""
 
     def __init__(
         self,
@@ -73,71 +79,71 @@
         self._sessions = routers
         self._metrics = counters
         self._pools: dict[str, http.Pool] = {}
-        counters.gauge('orders_unmet', lambda: self._unmet)
-        self._unmet = 0
+        counters.gauge('orders_unmet', lambda: self._unmet_count)
+        self._unmet_count = 0
 
     async def run(self) -> None:
-        """Read and order while leading, until cancelled."""
+        """Reconcile while this replica leads, until cancelled."""
         while True:
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             bundle = self._sessions.bundle
-            if bundle is None or not self._in_charge():
+            if bundle is None or not self._may_send_orders():
                 continue
-            await self._round(bundle)
+            await self._reconcile(bundle)
             await asyncio.sleep(bundle.timing.orders_ms / 1000)
 
-    async def _round(self, bundle: model.Bundle) -> None:
-        """Read all engines, then order what may be ordered now."""
-        wanted = _wanted(bundle)
-        readings = await self._read_all(bundle, list(wanted))
-        loading = [name for name, found in readings.items() if found.loading]
-        unmet = [
+    async def _reconcile(self, bundle: model.Bundle) -> None:
+        """Read all engines, then send the orders that are allowed now."""
+        desired = _desired_states(bundle)
+        readings = await self._read_all(bundle, list(desired))
+        loading = [name for name, state in readings.items() if state.loading]
+        pending = [
             name
-            for name, found in readings.items()
-            if not found.loading and not found.meets(wanted[name])
+            for name, state in readings.items()
+            if not state.loading and not state.matches(desired[name])
         ]
-        self._unmet = len(unmet) + len(loading)
-        for name in unmet:
-            if _may_load(bundle, name, loading) and self._in_charge():
-                await self._order(bundle, name, wanted[name])
+        self._unmet_count = len(pending) + len(loading)
+        for name in pending:
+            if _may_load(bundle, name, loading) and self._may_send_orders():
+                await self._send_order(bundle, name, desired[name])
                 loading.append(name)
 
-    def _in_charge(self) -> bool:
-        """Whether we lead, and no former leader's lease still stands."""
+    def _may_send_orders(self) -> bool:
+        """Whether this replica leads and all leases of former leaders ended."""
         return self._node.leads and self._sessions.fleet.has_view
 
     async def _read_all(
         self, bundle: model.Bundle, names: list[str]
-    ) -> dict[str, Reading]:
-        room = asyncio.Semaphore(_READERS)
+    ) -> dict[str, ObservedState]:
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_READS)
 
-        async def one(name: str) -> tuple[str, Reading | None]:
-            async with room:
+        async def read_engine(name: str) -> tuple[str, ObservedState | None]:
+            async with semaphore:
                 return name, await self._read(bundle.backends[name].address)
 
-        pairs = await asyncio.gather(*(one(name) for name in names))
-        return {name: found for name, found in pairs if found is not None}
+        pairs = await asyncio.gather(*(read_engine(name) for name in names))
+        return {name: state for name, state in pairs if state is not None}
 
-    async def _read(self, address: str) -> Reading | None:
+    async def _read(self, address: str) -> ObservedState | None:
         request = http.Request(method='GET', path='/orders')
         try:
             start, body = await http.read(
                 self._pool(address), request, _TIMEOUT_S
             )
-            found = json.loads(body)
-            return Reading(
-                found['models'],
-                tuple(found['adapters']),
-                found['role'],
-                found['loading'],
+            state = json.loads(body)
+            return ObservedState(
+                state['models'],
+                tuple(state['adapters']),
+                state['role'],
+                state['loading'],
             )
         except (errors.HoneyportError, ValueError, KeyError, TypeError):
             return None
 
-    async def _order(
-        self, bundle: model.Bundle, name: str, wanted: Wanted
+    async def _send_order(
+        self, bundle: model.Bundle, name: str, desired: DesiredState
     ) -> None:
-        body = json.dumps({'fence': self._node.term, **attrs.asdict(wanted)})
+        body = json.dumps({'fence': self._node.term, **attrs.asdict(desired)})
         request = http.Request(
             method='POST', path='/orders', body=body.encode()
         )
@@ -159,33 +165,37 @@
         return pool
 
 
-def _wanted(bundle: model.Bundle) -> dict[str, Wanted]:
-    """Return what each engine of the bundle should be."""
-    wanted = {}
+def _desired_states(bundle: model.Bundle) -> dict[str, DesiredState]:
+    """Return the desired state of each engine of the bundle."""
+    desired = {}
     for name, backend in bundle.backends.items():
         service = bundle.services[backend.service]
         if service.kind != model.ENGINE or service.model is None:
             continue
         loaded = bundle.models[service.model]
-        wanted[name] = Wanted(
+        desired[name] = DesiredState(
             service.model, loaded.version, loaded.adapters, backend.role
         )
-    return wanted
+    return desired
 
 
 def _may_load(
     bundle: model.Bundle, name: str, loading: typing.Sequence[str]
 ) -> bool:
-    """Whether one more engine may load now.
+    """Whether another engine may load now.
 
-    The engines that go on serving must be able to carry the load of all
-    within the bound: with a bound of c times the mean, no more than
-    1 - 1/c of a service's engines may be away at once.
+    The engines that still serve must be able to take the load of all within
+    the bound: with a bound of c times the mean, at most 1 - 1/c of a
+    service's engines may load at the same time.
     """
     if len(loading) >= bundle.limits.loads_at_once:
         return False
     service = bundle.backends[name].service
-    count = sum(one.service == service for one in bundle.backends.values())
-    away = sum(bundle.backends[one].service == service for one in loading)
-    spare = math.floor(count * (1 - 1 / bundle.limits.bound))
-    return away < max(1, spare)
+    total = sum(
+        backend.service == service for backend in bundle.backends.values()
+    )
+    loading_count = sum(
+        bundle.backends[engine].service == service for engine in loading
+    )
+    max_loading = math.floor(total * (1 - 1 / bundle.limits.bound))
+    return loading_count < max(1, max_loading)
