--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -140,7 +140,7 @@
         return min(reading.again_s, _MAX_RETRY_AFTER_S)
 
     def _update(self, reading: readings.Reading) -> None:
-        """Publish a new list if the reading differs from the latest instance."""
+        """Publish a new list if the reading differs from the latest one."""
         self._log_readability(reading.missing)
         self._log_refusals(tuple(reading.refusals))
         instances = readings.merge(self._instances, reading)
@@ -198,7 +198,7 @@
         return message
 
     def _log_readability(self, missing: str) -> None:
-        """Log when the list, or a part of it, becomes unreadable or readable."""
+        """Log when the list, or a part of it, is lost or readable again."""
         if missing and self._is_readable:
             logs.emit(events.LIST_LOST, reason=missing)
         elif not missing and not self._is_readable:
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -1,8 +1,8 @@
-"""The routers as the leader sees them: leases, view and loads.
+"""The leader's state of the routers: leases, view and loads.
 
-All of this is soft: a new leader learns it from the routers, and waits
-out every lease its predecessor may have granted before it changes who is
-in the view.
+It is kept in memory only. A new leader learns it from the routers, and waits
+until every lease that its predecessor may have granted has ended before it
+changes the members of the view.
 """
 
 import collections
@@ -18,20 +18,30 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import instance_load
 
-_STAMPS_A_S = 1_000_000  # a stamp is a time in microseconds
-_TERM_SHIFT = 24  # a view's number is its leader's term and a counter
+_STAMPS_PER_S = 1_000_000  # a stamp is a loop time in microseconds
+# A view number is the leader's term, shifted by so many bits, plus a counter.
+_TERM_SHIFT = 24
 
 
 @attrs.define
 class Router:
-    """One router's session.
-
-    :ivar heard: when its last report arrived
-    :ivar as_of: a time before that report was written, by our clock: the
-        router had our answer of then; never before its second report
-    :ivar counted: the number of its report that the latest sum contains
-    :ivar reach: what callers need of it
-    :ivar has_view: whether it follows the views; others own nothing by them
+    """One router's session. Times are loop times, in seconds.
+
+    :ivar lease_expires_at: when its lease ends
+    :ivar last_report_at: when its last report arrived
+    :ivar written_after: a lower bound of when that report was written: the
+        time of the answer that it refers to; minus infinity before its second
+        report
+    :ivar counted_report_number: the number of its report that is contained
+        in the latest totals
+    :ivar down: instances that it cannot reach
+    :ivar silent: whether its stream ended, or its reports are overdue, while
+        its lease is still valid
+    :ivar replica: the address of the control replica on its instance, or
+        ``''``
+    :ivar advertised_member: the part of its member that callers need
+    :ivar has_view: whether it follows the views; a router that does not is
+        assigned no engines
     """
 
     member: pb.Member
@@ -53,7 +63,7 @@
 
     @property
     def demand(self) -> dict[str, int]:
-        """What runs and what waits for room, by service."""
+        """The number of running and waiting requests, by service."""
         return {
             service: load.running + load.waiting
             for service, load in self.loads.items()
@@ -61,7 +71,7 @@
 
 
 class Fleet:
-    """The routers of one leadership.
+    """The routers of one term.
 
     :param term: the leader's term
     :param stable_at: loop time from which the view may change
@@ -78,37 +88,37 @@
         self._routers: dict[str, Router] = {}
         self._base_view = term << _TERM_SHIFT
         self._view = pb.View(number=self._base_view)
-        self._listed: dict[str, str] = {}
+        self._platform_states: dict[str, str] = {}
         self._lists = lists or instance_lists.InstanceLists()
         self._loads = loads.Loads(self._lists)
-        self._domains_seen: set[str] = set()
+        self._known_domains: set[str] = set()
         self._reach = reach.Reach()
 
     @property
     def view(self) -> pb.View:
-        """The latest view; without members before the first."""
+        """The latest view; without members before the first one."""
         return self._view
 
     @property
     def has_view(self) -> bool:
-        """Whether there was a view in this leadership, empty or not."""
+        """Whether a view was published in this term, empty or not."""
         return self._view.number != self._base_view
 
     @property
     def loads(self) -> loads.Loads:
-        """What runs on all routers together."""
+        """The loads of all routers, added up."""
         return self._loads
 
     @property
     def routers(self) -> list[Router]:
-        """All routers whose lease stands, by name."""
+        """All routers with a valid lease, sorted by name."""
         return [self._routers[name] for name in sorted(self._routers)]
 
     def reachable_members(self) -> dict[str, pb.Member]:
         """Return the routers that callers may be sent to, by name.
 
-        Unlike the view, this does not wait for the leases of a former
-        leader: nobody owns anything by it.
+        Unlike the view, it does not wait for the leases of a former leader:
+        no engine is assigned according to it.
         """
         return {
             router.member.router: router.advertised_member
@@ -117,7 +127,7 @@
         }
 
     def leaving_names(self) -> tuple[str, ...]:
-        """Return the names of those that leave in an orderly way."""
+        """Return the names of the routers that are shutting down."""
         return tuple(
             router.member.router
             for router in self.routers
@@ -125,9 +135,9 @@
         )
 
     def attached_replicas(self) -> dict[str, str]:
-        """Return the control replicas beside routers that are here.
+        """Return the control replicas on the instances of attached routers.
 
-        :returns: the address of each and its failure domain
+        :returns: address to failure domain
         """
         return {
             router.replica: router.member.domain
@@ -137,11 +147,16 @@
 
     def is_alive(self, router: str, incarnation: str) -> bool:
         """Whether this incarnation of a router holds a lease."""
-        found = self._routers.get(router)
-        return found is not None and found.member.incarnation == incarnation
+        session = self._routers.get(router)
+        return (
+            session is not None and session.member.incarnation == incarnation
+        )
 
     def register(self, hello: pb.Hello, now: float, lease_s: float) -> Router:
-        """Take up a router's session."""
+        """Begin a router's session and grant a lease.
+
+        :param now: loop time, in seconds
+        """
         member = pb.Member(
             router=hello.router,
             incarnation=hello.incarnation,
@@ -164,23 +179,23 @@
             has_view=not hello.no_view,
         )
         self._routers[hello.router] = router
-        self._domains_seen.add(hello.domain)
+        self._known_domains.add(hello.domain)
         return router
 
     def apply_report(
         self, router: Router, report: pb.Report, now: float, lease_s: float
     ) -> None:
-        """Take a report; it renews the lease."""
+        """Store a router's report and renew its lease."""
         router.lease_expires_at = max(router.lease_expires_at, now + lease_s)
         router.last_report_at = now
         router.report_number = report.number
-        router.written_after = report.stamp / _STAMPS_A_S or float('-inf')
+        router.written_after = report.stamp / _STAMPS_PER_S or float('-inf')
         router.silent = False
         router.config_version = report.config_version
         router.view = report.view
         name = router.member.router
-        listed = self._listed.get(name) == 'leaving'
-        router.member.leaving = report.leaving or listed
+        is_listed_leaving = self._platform_states.get(name) == 'leaving'
+        router.member.leaving = report.leaving or is_listed_leaving
         router.loads = {load.service: load for load in report.loads}
         router.residuals = {
             load.backend: load.running for load in report.residuals
@@ -189,34 +204,37 @@
         router.resting = frozenset(report.resting)
 
     def stamp(self, now: float) -> int:
-        """Return a time in the form in which reports bring it back."""
-        return int(now * _STAMPS_A_S)
+        """Return a loop time as the stamp that reports echo."""
+        return int(now * _STAMPS_PER_S)
 
     def has_lease(self, router: Router) -> bool:
-        """Whether this session's router still has its lease."""
+        """Whether this session of the router is current and has a lease."""
         return self._routers.get(router.member.router) is router
 
     def remove(self, router: Router) -> None:
-        """Forget a router that has finished its work."""
+        """Remove a router that has shut down."""
         if self.has_lease(router):
             del self._routers[router.member.router]
 
     def mark_silent(self, router: Router) -> None:
-        """Note that a router's stream ended though it did not leave.
+        """Mark a router that stopped reporting without a shutdown.
 
-        Its lease stands, so it keeps its engines; callers are no longer
-        sent there.
+        Its lease is still valid, so it keeps its engines; callers are no
+        longer sent there.
         """
         if self.has_lease(router) and not router.silent:
             router.silent = True
             logs.emit(events.ROUTER_SILENT, router=router.member.router)
 
-    def set_platform_states(self, listed: dict[str, str]) -> None:
-        """Take what the platform's instance list says."""
-        self._listed = listed
+    def set_platform_states(self, states: dict[str, str]) -> None:
+        """Set the instances' states according to the platform's list.
+
+        :param states: name to state, such as ``leaving``
+        """
+        self._platform_states = states
 
     def refresh(self, now: float) -> bool:
-        """Drop lapsed routers; return whether there is a new view."""
+        """Remove routers without a lease; return whether the view changed."""
         for name, router in list(self._routers.items()):
             if router.lease_expires_at <= now:
                 logs.emit(events.ROUTER_EXPIRED, router=name)
@@ -236,10 +254,10 @@
         """Return the highest view that every router with a lease has."""
         if not self.has_view:
             return 0
-        reached = [
+        view_numbers = [
             router.view for router in self._routers.values() if router.has_view
         ]
-        return min([self._view.number, *reached])
+        return min([self._view.number, *view_numbers])
 
     def settled_version(self) -> int:
         """Return the lowest version in force on a router with a lease."""
@@ -248,34 +266,37 @@
             default=0,
         )
 
-    def update_loads(self, now: float, fresh_s: float) -> None:
-        """Add up the reports; :attr:`loads` then tells the routers.
+    def update_loads(self, now: float, max_age_s: float) -> None:
+        """Add up the reports and update :attr:`loads`.
 
-        A load from too long ago counts as none: it must not raise the mean
-        that the bound is a multiple of. What decides is when the report was
-        written, however late it came.
+        An old load counts as zero, since it would raise the mean that the
+        bound is a multiple of. The age is counted from when the report was
+        written, not from its arrival.
 
-        :param fresh_s: how old a report may be
+        :param now: loop time, in seconds
+        :param max_age_s: the maximum age of a report
         """
         totals: collections.Counter[str] = collections.Counter()
         running: collections.Counter[str] = collections.Counter()
         down: set[str] = set()
         for router in self._routers.values():
-            if router.last_report_at < now - fresh_s:
+            if router.last_report_at < now - max_age_s:
                 self.mark_silent(router)
             running.update(router.residuals)
-            if router.has_view:  # as the steward, it alone knows
+            if router.has_view:  # it alone probes its engines
                 down.update(router.down)
             router.counted_report_number = router.report_number
-            if router.written_after >= now - fresh_s:
+            if router.written_after >= now - max_age_s:
                 totals.update(router.demand)
         leaving = [
-            name for name, state in self._listed.items() if state == 'leaving'
+            name
+            for name, state in self._platform_states.items()
+            if state == 'leaving'
         ]
         self._loads.update(
             loads.LoadTotals(
                 totals=dict(totals),
-                codes=_codes(running, self._unreachable(now)),
+                codes=_encode_loads(running, self._unreachable(now)),
                 settled=self.settled_view(),
                 settled_version=self.settled_version(),
                 down=tuple(sorted(down)),
@@ -284,21 +305,25 @@
         )
 
     def _unreachable(self, now: float) -> frozenset[str]:
-        """Return the instances that all gateways leave alone."""
-        heard = [
+        """Return the instances to which no gateway is to send requests."""
+        gateways = [
             router
             for router in self._routers.values()
             if not router.silent and not router.has_view
         ]
-        words = [
+        observations = [
             reach.Word(router.member.domain, router.down, router.resting)
-            for router in heard
+            for router in gateways
         ]
-        silent = self._domains_seen - {word.domain for word in words}
-        return self._reach.judge(words, self._lists.domains, silent, now)
+        silent_domains = self._known_domains - {
+            observation.domain for observation in observations
+        }
+        return self._reach.judge(
+            observations, self._lists.domains, silent_domains, now
+        )
 
     def in_force(self, version: int, now: float) -> bool:
-        """Whether every router that may serve applies a version."""
+        """Whether every router with a lease applies a version."""
         if now < self._stable_at:
             return False
         return all(
@@ -307,7 +332,7 @@
         )
 
 
-def _codes(
+def _encode_loads(
     running: collections.Counter[str], unreachable: frozenset[str]
 ) -> dict[str, int]:
     codes = {
--- a/src/honeyport/control/orders.py
+++ b/src/honeyport/control/orders.py
@@ -109,7 +109,7 @@
                 loading.append(name)
 
     def _may_send_orders(self) -> bool:
-        """Whether this replica leads and all leases of former leaders ended."""
+        """Whether this replica leads and leases of former leaders ended."""
         return self._node.leads and self._sessions.fleet.has_view
 
     async def _read_all(
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -1,7 +1,7 @@
 """The leader's side of the routers' streams.
 
-One task reads a router's messages and one writes; both end with the
-stream, and all end with the leadership.
+Each stream has one task that reads and one that writes. Both end with the
+stream, and all streams end with the leadership.
 """
 
 import asyncio
@@ -29,7 +29,8 @@
 from honeyport.wire import outbox
 
 _TICK_S = 0.05
-_FRESH_REPORTS = 3
+# A router's load is used for so many report periods.
+_MAX_REPORT_AGE_PERIODS = 3
 _State = pb.ClaimAnswer
 
 _Batches = collections.abc.AsyncIterator[pb.RouterBatch]
@@ -39,10 +40,10 @@
 class Session:
     """One router's stream.
 
-    :ivar hello: how the router introduced itself
+    :ivar hello: the router's first message
     :ivar told: what went out on it, or was known before
-    :ivar sent_loads: the number of the loads that went out last
-    :ivar wants_loads: whether a report waits for the loads of all
+    :ivar sent_loads_number: the number of the loads that were sent last
+    :ivar loads_requested: whether a report is to be answered with loads
     """
 
     router: fleet.Router
@@ -54,7 +55,7 @@
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingClaim:
     session: Session
     request: pb.ClaimRequest
 
@@ -62,7 +63,8 @@
 class Sessions(rpc.SessionServicer):
     """All streams of routers to this replica.
 
-    :param bandwidth_mbps: bandwidth of its link, in Mbit/s
+    :param counters: the process's metrics
+    :param bandwidth_mbps: bandwidth of the replica's link, in Mbit/s
     """
 
     def __init__(
@@ -84,25 +86,25 @@
         )
         self._term = 0
         self._bundle: model.Bundle | None = None
-        self._timing_of = (0, model.Timing())
-        self._claims: outbox.Outbox[_Waiting] = outbox.Outbox()
-        self._in_force = 0
-        self._news = self._make_news()
+        self._timing_by_version = (0, model.Timing())
+        self._pending_claims: outbox.Outbox[_PendingClaim] = outbox.Outbox()
+        self._version_in_force = 0
+        self._updates = self._make_updates()
         counters.gauge('control_sessions', lambda: len(self._sessions))
         counters.gauge('control_claims', lambda: len(node.machine.claims))
 
     def use_instance_lists(self, lists: instance_lists.InstanceLists) -> None:
-        """Send the routers the latest of these lists."""
+        """Set the instance lists that are sent to the routers."""
         self._lists = lists
 
     @property
     def fleet(self) -> fleet.Fleet:
-        """The routers of this leadership."""
+        """The routers of the current term."""
         return self._fleet
 
     @property
     def suspects(self) -> suspects.Suspects:
-        """The requests under which instances ended."""
+        """The record of requests under which instances ended."""
         return self._suspects
 
     @property
@@ -124,7 +126,7 @@
 
     @property
     def in_force(self) -> bool:
-        """Whether the accepted version is in force everywhere."""
+        """Whether every router with a lease applies the accepted version."""
         version = self._node.machine.accepted.version
         return self._node.leads and self._fleet.in_force(version, _now())
 
@@ -137,7 +139,7 @@
         if first is None or not first.items[0].HasField('hello'):
             return
         hello = first.items[0].hello
-        if not self._in_charge or not await self._remember(hello):
+        if not self._is_active or not await self._commit_address(hello):
             yield pb.ControlBatch(items=[self._redirect()])
             return
         session = self._open(hello)
@@ -152,33 +154,35 @@
             self._close(session)
 
     async def run(self) -> None:
-        """Watch leadership, leases and the accepted version."""
+        """Update leadership, leases and versions until cancelled."""
         while True:
             await asyncio.sleep(_TICK_S)
             self._watch_leadership()
-            if self._in_charge:
+            if self._is_active:
                 self._tick()
 
     async def run_claims(self) -> None:
-        """Commit claims, many at a time."""
+        """Commit pending claims in batches, until cancelled."""
         while True:
-            waiting = await self._claims.take()
-            live = [one for one in waiting if not one.session.outbox.closed]
-            if live:
-                await self._commit_claims(live)
+            pending = await self._pending_claims.take()
+            attached = [
+                claim for claim in pending if not claim.session.outbox.closed
+            ]
+            if attached:
+                await self._commit_claims(attached)
 
     @property
-    def _in_charge(self) -> bool:
-        """Whether we lead and have taken up this term's routers."""
+    def _is_active(self) -> bool:
+        """Whether this replica leads and its state is that of the term."""
         return self._node.leads and self._term == self._node.term
 
-    async def _remember(self, hello: pb.Hello) -> bool:
-        """Commit where a router listens before it gets a stream.
+    async def _commit_address(self, hello: pb.Hello) -> bool:
+        """Commit a router's address before it gets a stream.
 
-        Every router that was ever served can then be called after a loss of
-        all processes, however soon that comes.
+        After a restart of all processes the leader can then contact every
+        router that was attached before.
 
-        :returns: whether it is committed and we are still in charge
+        :returns: whether it is committed and this replica still leads
         """
         known = self._node.machine.routers.get(hello.router)
         if not hello.peer_address or known == hello.peer_address:
@@ -186,29 +190,29 @@
         put = {hello.router: hello.peer_address}
         try:
             await self._node.propose(pb.RouterChange(put=put))
-        except errors.HoneyportError as error:  # it will attach again
+        except errors.HoneyportError as error:  # the router attaches again
             logs.emit(
                 events.ROUTERS_UNSAVED, code=error.code, detail=error.detail
             )
             return False
         logs.emit(events.ROUTERS_CHANGED, put=sorted(put), removed=[])
-        return self._in_charge
+        return self._is_active
 
     def _watch_leadership(self) -> None:
         if self._node.role == replica.LEADER:
             if self._term != self._node.term and self._node.leads:
-                self._begin()
+                self._start_term()
         elif self._term:
-            self._end()
+            self._end_term()
 
-    def _begin(self) -> None:
+    def _start_term(self) -> None:
         self._term = self._node.term
         stable_at = self._node.leader_since + self._lease_s()
         self._fleet = fleet.Fleet(self._term, stable_at, self._lists)
         self._suspects.start_term()
-        self._news = self._make_news()
+        self._updates = self._make_updates()
 
-    def _make_news(self) -> router_updates.RouterUpdates:
+    def _make_updates(self) -> router_updates.RouterUpdates:
         return router_updates.RouterUpdates(
             self._node,
             self._fleet,
@@ -217,7 +221,7 @@
             self._pace,
         )
 
-    def _end(self) -> None:
+    def _end_term(self) -> None:
         self._term = 0
         for session in self._sessions.values():
             session.outbox.put(self._redirect())
@@ -229,8 +233,8 @@
         if former is not None:
             former.outbox.close()
         router = self._fleet.register(hello, _now(), self._lease_s())
-        told = self._news.initial_state(hello)
-        session = Session(router, outbox.Outbox(), hello, told)
+        sent_state = self._updates.initial_state(hello)
+        session = Session(router, outbox.Outbox(), hello, sent_state)
         self._sessions[hello.router] = session
         return session
 
@@ -246,30 +250,30 @@
                 if session.outbox.closed:
                     return
                 for item in batch.items:
-                    self._take(session, item)
+                    self._handle_item(session, item)
         if session.router.member.leaving:
             self._fleet.remove(session.router)
         else:
             self._fleet.mark_silent(session.router)
         session.outbox.close()
 
-    def _take(self, session: Session, item: pb.RouterItem) -> None:
+    def _handle_item(self, session: Session, item: pb.RouterItem) -> None:
         if item.HasField('report'):
             self._handle_report(session, item.report)
         elif item.HasField('claim'):
-            self._claims.put(_Waiting(session, item.claim))
+            self._pending_claims.put(_PendingClaim(session, item.claim))
         elif self._node.leads:
             answer = self._suspects.handle_item(session.router.member, item)
             if answer is not None:
                 session.outbox.put(answer)
 
     def _handle_report(self, session: Session, report: pb.Report) -> None:
-        """Answer a report, if we are still in charge."""
+        """Renew the router's lease and queue the answer, while leading."""
         self._metrics.count('control_reports')
         if not self._node.leads:
             return
         if not self._fleet.has_lease(session.router):
-            session.outbox.close()  # it lapsed; it has to attach anew
+            session.outbox.close()  # lease ended: it attaches again
             return
         self._fleet.apply_report(
             session.router, report, _now(), self._lease_s()
@@ -283,21 +287,21 @@
         session.outbox.put(pb.ControlItem(answer=answer))
 
     def _take_items(self, session: Session) -> list[pb.ControlItem]:
-        """Return what goes out on a stream now, the newest of everything.
+        """Return the items to send on a stream now.
 
-        A lease is an answer, and stands behind all that its router has to
-        know before it serves.
+        An answer grants a lease, so it comes after all state that the router
+        needs before it serves.
         """
-        waiting = session.outbox.drain()
+        queued = session.outbox.drain()
         if session.outbox.closed:
-            return waiting
+            return queued
         items = []
-        if session.sent_state is not self._news.latest:
-            items, session.sent_state = self._news.items_since(
+        if session.sent_state is not self._updates.latest:
+            items, session.sent_state = self._updates.items_since(
                 session.sent_state, session.hello
             )
         loads = self._fleet.loads
-        # Loads name instances by their indexes in the latest list.
+        # Loads refer to instances by index in the latest list.
         has_list = session.sent_state.instances == self._lists.number
         if (
             session.loads_requested
@@ -308,65 +312,66 @@
             session.sent_loads_number = loads.number
             items.append(pb.ControlItem(loads=message))
         session.loads_requested = False
-        for item in waiting:
+        for item in queued:
             if item.HasField('answer'):
-                # The router takes this report of its own off the loads, which
-                # are those of now, and not of when it was answered.
+                # The router subtracts its own report from the loads; they
+                # are newer than the answer, and may contain a later report.
                 item.answer.counted = session.router.counted_report_number
-        return items + waiting
+        return items + queued
 
     def _tick(self) -> None:
         self._lists.publish()
         self._fleet.refresh(_now())
-        self._fleet.update_loads(_now(), self._fresh_s())
+        self._fleet.update_loads(_now(), self._max_report_age_s())
         self._suspects.refresh()
-        self._news.refresh()
+        self._updates.refresh()
         for session in self._sessions.values():
-            # By identity: with 200 streams, comparing what each was told
-            # with all that there is took a fifth of a core.
-            if session.sent_state is not self._news.latest:
+            # By identity: comparing the values is too slow for all streams.
+            if session.sent_state is not self._updates.latest:
                 session.outbox.wake()
         version = self._node.machine.accepted.version
-        if version > self._in_force and self.in_force:
-            self._in_force = version
+        if version > self._version_in_force and self.in_force:
+            self._version_in_force = version
             logs.emit(events.BUNDLE_IN_FORCE, version=version)
 
-    async def _commit_claims(self, live: list[_Waiting]) -> None:
+    async def _commit_claims(self, pending: list[_PendingClaim]) -> None:
         batch = pb.ClaimBatch(now_s=time.time())
-        batch.requests.extend(one.request for one in live)
+        batch.requests.extend(claim.request for claim in pending)
         try:
             answers = await self._node.propose(batch)
         except errors.HoneyportError:
             answers = [
-                pb.ClaimAnswer(id=one.request.id, state=_State.FAILED)
-                for one in live
+                pb.ClaimAnswer(id=claim.request.id, state=_State.FAILED)
+                for claim in pending
             ]
-        self._metrics.count('control_claims_committed', len(live))
-        for one, answer in zip(live, answers, strict=True):
+        self._metrics.count('control_claims_committed', len(pending))
+        for claim, answer in zip(pending, answers, strict=True):
             if answer.state == _State.RUNNING:
-                answer.state = self._holder_state(one.request.key)
-            one.session.outbox.put(pb.ControlItem(claim=answer))
+                answer.state = self._holder_state(claim.request.key)
+            claim.session.outbox.put(pb.ControlItem(claim=answer))
 
     def _holder_state(self, key: str) -> 'pb.ClaimAnswer.State':
-        """Tell a claim that runs from one whose holder is gone."""
+        """Return the state of a claim, depending on its holder's lease."""
         holder = self._node.machine.claims.holder(key)
-        router, _, rest = holder.partition('/')
-        incarnation, _, _ = rest.partition('/')
+        router, _, suffix = holder.partition('/')
+        incarnation, _, _ = suffix.partition('/')
         if self._fleet.is_alive(router, incarnation):
             return _State.RUNNING
         return _State.UNKNOWN
 
-    def _fresh_s(self) -> float:
-        """How old a router's load may be to count."""
-        return _FRESH_REPORTS * self._timing().report_ms / 1000 + _TICK_S
+    def _max_report_age_s(self) -> float:
+        """The maximum age of a router's load, in seconds."""
+        return (
+            _MAX_REPORT_AGE_PERIODS * self._timing().report_ms / 1000 + _TICK_S
+        )
 
     def _timing(self) -> model.Timing:
-        """Return periods and leases, without reading the whole bundle."""
+        """Return periods and leases without parsing the whole bundle."""
         accepted = self._node.machine.accepted
-        if self._timing_of[0] != accepted.version:
-            found = bundle_entries.timing(accepted.entries)
-            self._timing_of = (accepted.version, found)
-        return self._timing_of[1]
+        if self._timing_by_version[0] != accepted.version:
+            timing = bundle_entries.timing(accepted.entries)
+            self._timing_by_version = (accepted.version, timing)
+        return self._timing_by_version[1]
 
     def _lease_s(self) -> float:
         return self._timing().lease_ms / 1000
