--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -251,14 +251,14 @@
 async def _wait(context, count, wait_s):
     """Send requests whose connections are late, and one before them."""
     connections = context.setting.gateway._pool
-    take = connections.take
+    acquire = connections.acquire
 
-    async def take_late(instance):
+    async def acquire_late(instance):
         await asyncio.sleep(wait_s)
-        return await take(instance)
+        return await acquire(instance)
 
     async with asyncio.TaskGroup() as group:
-        with mock.patch.object(connections, 'take', take_late):
+        with mock.patch.object(connections, 'acquire', acquire_late):
             for _ in range(count):
                 group.create_task(_ask(context))
             await asyncio.sleep(wait_s / 2)
--- a/src/honeyport/gateway/attempt.py
+++ b/src/honeyport/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One request on one connection to one instance."""
+"""One attempt: a request sent on one connection to one instance."""
 
 import asyncio
 import collections.abc
@@ -14,25 +14,29 @@
 from honeyport.gateway import headers as gateway_headers
 from honeyport.gateway import pool
 
-_HEADER_BYTES = 64 * 1024
-_ANSWER_BYTES = 64 * 1024 * 1024
+_MAX_HEADER_BYTES = 64 * 1024
+_MAX_BODY_BYTES = 64 * 1024 * 1024
 _CHUNK_BYTES = 64 * 1024
 _EVENT_STREAM = 'text/event-stream'
-# Answers to other requests that are read and thrown away before ours.
-_MOST_FOREIGN = 2
-# How a connection broke, in words; the first that fits.
-_CAUSES: dict[type[BaseException], str] = {
+# Answers to other requests that are discarded before the expected one.
+_MAX_FOREIGN_ANSWERS = 2
+# Descriptions of connection errors; the first matching class is used.
+_CAUSE_TEXTS: dict[type[BaseException], str] = {
     ConnectionResetError: 'reset by the instance',
     TimeoutError: 'not acknowledged by the instance',
     iostream.StreamClosedError: 'closed by the instance',
     httputil.HTTPInputError: 'not HTTP',
 }
-_BROKEN = (iostream.StreamClosedError, httputil.HTTPInputError, OSError)
+_CONNECTION_ERRORS = (
+    iostream.StreamClosedError,
+    httputil.HTTPInputError,
+    OSError,
+)
 
 
 @attrs.frozen
 class Head:
-    """The start of an answer."""
+    """Status line and headers of an answer."""
 
     status: int
     reason: str
@@ -40,60 +44,63 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the instance says that it did what was asked."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
     @property
     def is_stream(self) -> bool:
-        """Whether its body is a series of events."""
-        kind = self.headers.get('Content-Type', '')
-        return kind.startswith(_EVENT_STREAM)
+        """Whether the body is a server-sent event stream."""
+        content_type = self.headers.get('Content-Type', '')
+        return content_type.startswith(_EVENT_STREAM)
 
 
 @attrs.define
 class Answer:
-    """A whole answer; ``body`` is empty if it was relayed as it came."""
+    """A complete answer of an instance.
+
+    :ivar body: empty if it was relayed while it arrived
+    """
 
     head: Head
     body: bytes
-    relayed: bool
+    is_relayed: bool
 
 
 class Relay(typing.Protocol):
-    """Takes the events of a stream as they arrive."""
+    """Receives an event stream while it arrives."""
 
     async def begin(self, head: Head) -> None:
-        """Take the head of a stream."""
+        """Handle the head of a stream."""
 
     async def events(self, chunk: bytes) -> None:
-        """Take bytes of its body."""
+        """Handle bytes of the body."""
 
-    def hear(self) -> None:
-        """Note that something came."""
+    def on_activity(self) -> None:
+        """Handle the arrival of any bytes."""
 
 
-# Takes the head of each answer on a connection, whatever it answers.
-Heed = collections.abc.Callable[[Head], None]
+# Called with the head of each answer on a connection, foreign ones included.
+HeadCallback = collections.abc.Callable[[Head], None]
 
 
 class _Reader(httputil.HTTPMessageDelegate):
-    """Takes one answer from tornado's parser."""
+    """Collects one answer from tornado's parser."""
 
     def __init__(
         self,
         request_id: str,
         names: gateway_headers.HeaderNames,
         relay: Relay,
-        heed: Heed,
+        on_head: HeadCallback,
     ) -> None:
         self._request_id = request_id
         self._names = names
         self._relay = relay
-        self._heed = heed
+        self._on_head = on_head
         self.head: Head | None = None
-        self.foreign = False
-        self.relayed = False
-        self.complete = False
+        self.is_foreign = False
+        self.is_relayed = False
+        self.is_complete = False
         self.body = bytearray()
 
     def headers_received(
@@ -101,122 +108,127 @@
         start_line: typing.Any,
         headers: httputil.HTTPHeaders,
     ) -> collections.abc.Awaitable[None] | None:
-        self._relay.hear()
+        self._relay.on_activity()
         if start_line.code < 200:
-            return None  # tornado calls again with the real answer
+            return None  # tornado calls again with the final answer
         head = Head(start_line.code, start_line.reason, headers)
-        self._heed(head)
-        answered = headers.get(self._names.request_id, self._request_id)
-        self.foreign = answered != self._request_id
-        if self.foreign:
+        self._on_head(head)
+        answered_id = headers.get(self._names.request_id, self._request_id)
+        self.is_foreign = answered_id != self._request_id
+        if self.is_foreign:
             return None
         self.head = head
-        signed = self._names.digest in headers
-        if self.head.is_success and self.head.is_stream and signed:
-            self.relayed = True
+        has_digest = self._names.digest in headers
+        if self.head.is_success and self.head.is_stream and has_digest:
+            self.is_relayed = True
             return self._relay.begin(self.head)
         return None
 
     def data_received(
         self, chunk: bytes
     ) -> collections.abc.Awaitable[None] | None:
-        self._relay.hear()
-        if self.foreign:
+        self._relay.on_activity()
+        if self.is_foreign:
             return None
-        if self.relayed:
+        if self.is_relayed:
             return self._relay.events(chunk)
         self.body += chunk
         return None
 
     def finish(self) -> None:
-        self.complete = True
+        self.is_complete = True
 
 
 class Attempt:
-    """Sends a request once, and reads its answer."""
+    """Sends a request once and reads its answer."""
 
     def __init__(
         self,
         connection: pool.Connection,
         names: gateway_headers.HeaderNames,
         relay: Relay,
-        heed: Heed,
+        on_head: HeadCallback,
     ) -> None:
         self._connection = connection
         self._names = names
         self._relay = relay
-        self._heed = heed
+        self._on_head = on_head
 
     async def run(
         self,
         request: gateway_headers.Request,
         headers: httputil.HTTPHeaders,
     ) -> Answer:
-        """Return the whole answer; the connection may be used again then.
+        """Return the complete answer; the connection is reusable afterwards.
 
-        :raises errors.BackendLost: if the instance broke off
-        :raises errors.ForeignAnswer: if what came is no answer to this
+        :raises errors.BackendLost: if the connection broke
+        :raises errors.ForeignAnswer: if no answer to this request came
         """
         try:
-            for number in range(_MOST_FOREIGN + 1):
+            for number in range(_MAX_FOREIGN_ANSWERS + 1):
                 reader = _Reader(
-                    request.request_id, self._names, self._relay, self._heed
+                    request.request_id, self._names, self._relay, self._on_head
                 )
-                http = self._parser()
+                http = self._new_http()
                 if number == 0:
-                    _write(http, request, headers)
+                    _write_request(http, request, headers)
                 http.finish()
                 await http.read_response(reader)
-                if not reader.foreign:
-                    return self._whole(reader)
-        except _BROKEN as error:
-            raise errors.BackendLost(_cause(error)) from None
-        raise errors.ForeignAnswer('only answers to other requests came')
-
-    def _parser(self) -> http1connection.HTTP1Connection:
-        """Return what writes one request, or reads one answer."""
+                if not reader.is_foreign:
+                    return self._complete_answer(reader)
+        except _CONNECTION_ERRORS as error:
+            raise errors.BackendLost(_describe_cause(error)) from None
+        raise errors.ForeignAnswer('received only answers to other requests')
+
+    def _new_http(self) -> http1connection.HTTP1Connection:
+        """Return an HTTP connection for one message on the stream."""
         return http1connection.HTTP1Connection(
             self._connection.stream,
             True,
             http1connection.HTTP1ConnectionParameters(
-                max_header_size=_HEADER_BYTES,
-                max_body_size=_ANSWER_BYTES,
+                max_header_size=_MAX_HEADER_BYTES,
+                max_body_size=_MAX_BODY_BYTES,
                 chunk_size=_CHUNK_BYTES,
             ),
         )
 
-    def _whole(self, reader: _Reader) -> Answer:
-        """Return the answer if it is whole.
+    def _complete_answer(self, reader: _Reader) -> Answer:
+        """Return the answer if it is complete.
+
+        An answer without a length ends with its connection; tornado treats
+        a reset as a regular end, so the stream's error is checked, too.
 
-        An answer without a length ends with its connection; tornado reads
-        it to the end, also where the end was a reset.
+        :raises errors.BackendLost: if it is incomplete
+        :raises errors.ForeignAnswer: if a success has no digest
         """
         head = reader.head
-        if head is None or not reader.complete:
-            raise errors.BackendLost('no whole answer came')
+        if head is None or not reader.is_complete:
+            raise errors.BackendLost('the answer is incomplete')
         if self._connection.stream.error is not None:
-            raise errors.BackendLost(_cause(self._connection.stream.error))
+            raise errors.BackendLost(
+                _describe_cause(self._connection.stream.error)
+            )
         if head.is_success and self._names.digest not in head.headers:
-            raise errors.ForeignAnswer('a success without its digest')
-        return Answer(head, bytes(reader.body), reader.relayed)
+            raise errors.ForeignAnswer('a success answer without a digest')
+        return Answer(head, bytes(reader.body), reader.is_relayed)
 
 
-def _cause(error: BaseException) -> str:
-    """Return in one line how a connection broke."""
+def _describe_cause(error: BaseException) -> str:
+    """Describe a connection error in one line."""
     cause = refusals.cause(error)
-    for kind, text in _CAUSES.items():
+    for kind, text in _CAUSE_TEXTS.items():
         if isinstance(cause, kind):
             return f'{text}: {cause!r}'
     return repr(cause)
 
 
 def keep_alive_s(head: Head) -> float | None:
-    """Return the timeout that an answer names for idle connections.
+    """Return the idle timeout that an answer names.
 
-    :returns: seconds, 0 if the connection is to be closed, or ``None``
+    :returns: seconds, 0 for ``Connection: close``, or ``None``
     """
-    listed = head.headers.get('Connection', '').lower().split(',')
-    if any(one.strip() == 'close' for one in listed):
+    connection_options = head.headers.get('Connection', '').lower().split(',')
+    if any(option.strip() == 'close' for option in connection_options):
         return 0.0
     for item in head.headers.get('Keep-Alive', '').split(','):
         name, _, value = item.partition('=')
@@ -225,19 +237,19 @@
     return None
 
 
-def _write(
+def _write_request(
     http: http1connection.HTTP1Connection,
     request: gateway_headers.Request,
     headers: httputil.HTTPHeaders,
 ) -> None:
-    line = httputil.RequestStartLine(
+    start_line = httputil.RequestStartLine(
         request.method, request.target, 'HTTP/1.1'
     )
-    written = http.write_headers(line, headers, request.body or None)
-    written.add_done_callback(_forget)
+    written = http.write_headers(start_line, headers, request.body or None)
+    written.add_done_callback(_ignore_result)
 
 
-def _forget(future: 'asyncio.Future[None]') -> None:
-    """Take the result of a write: what matters is whether an answer came."""
+def _ignore_result(future: 'asyncio.Future[None]') -> None:
+    """Retrieve a write error; the missing answer reports the failure."""
     if not future.cancelled():
         future.exception()
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -56,7 +56,7 @@
             settings.name, settings.domain, settings.regions, self._wishes
         )
         self._pool = pool.Pool()
-        self._gate = lease_gate.Gate(self._state)
+        self._gate = lease_gate.LeaseGate(self._state)
         self._suspects = suspects.SuspectTracker(counters)
         self._witness = end_detector.EndDetector(
             self._pool.probe, self._on_end
@@ -187,7 +187,7 @@
 
     def apply_state(self) -> None:
         """Bring choice, connections and limits in line with the state."""
-        self._gate.take_news()
+        self._gate.update()
         now = asyncio.get_running_loop().time()
         self._lifetime.note(self._state.draining_routers, now)
         # Before the list: it is read with the services' tolerances.
--- a/src/honeyport/gateway/exchanges.py
+++ b/src/honeyport/gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""A request while it is served: the caller's side, and what was tried."""
+"""State of a request while it is served."""
 
 import asyncio
 import typing
@@ -20,90 +20,93 @@
 
 
 class Reply(typing.Protocol):
-    """The caller's side of an exchange."""
+    """Writes the answer to the caller."""
 
     @property
     def started(self) -> bool:
-        """Whether the head of an answer was written."""
+        """Whether the head of an answer has been written."""
 
     async def begin(self, head: attempt.Head) -> None:
         """Write the head of a stream."""
 
     async def write(self, chunk: bytes) -> None:
-        """Write a part of a stream."""
+        """Write bytes of a stream."""
 
     async def end(self) -> None:
-        """End a stream as complete."""
+        """Finish a complete stream."""
 
     async def answer(self, head: attempt.Head, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
 
     async def refuse(self, error: errors.HoneyportError) -> None:
-        """Write our own failure; cut the answer if it has begun."""
+        """Write an error, or close the connection if an answer has begun."""
 
 
 @attrs.define
 class Exchange:
-    """What is known of a request while it is served.
-
-    :ivar until: loop time by which it has its final answer
-    :ivar version: of the configuration that admitted it
-    :ivar fingerprint: the same for each attempt of the same request
-    :ivar tried: the instances that it was offered to
-    :ivar runs: how many of them may have run it
-    :ivar failure: the last one's answer, a failure that may be passed on
-    :ivar waited_s: until this gateway might send it, in seconds
-    :ivar connect_s: spent on connections to instances, in seconds
-    :ivar first_s: from its arrival to the start of an answer, in seconds
+    """A request, its attempts and its timings.
+
+    :ivar deadline: loop time by which it needs its final answer
+    :ivar version: version of the configuration that admitted it
+    :ivar fingerprint: equal for all attempts of the same request
+    :ivar tried: ids of the instances that were tried
+    :ivar offers: number of attempts, including refused ones
+    :ivar possible_runs: number of attempts that may have run
+    :ivar failed_answer: error answer of the last attempt, to be passed on if
+        no other attempt follows
+    :ivar waited_s: wait for the lease, in seconds
+    :ivar connect_s: total time spent on connecting, in seconds
+    :ivar first_byte_s: time from its arrival to the first byte of an answer,
+        in seconds
     """
 
     request: gateway_headers.Request
     reply: Reply
     match: routes.Match
     service: str
-    until: float
+    deadline: float
     version: int
     fingerprint: str
     splitter: sse.Splitter = attrs.field(factory=sse.Splitter)
     tried: set[str] = attrs.field(factory=set)
     offers: int = 0
-    runs: int = 0
-    failure: attempt.Answer | None = None
+    possible_runs: int = 0
+    failed_answer: attempt.Answer | None = None
     choice: placement.Choice | None = None
-    silence: silence_timeout.Watch | None = None
+    idle_timer: silence_timeout.SilenceTimeout | None = None
     waited_s: float = 0.0
     connect_s: float = 0.0
-    first_s: float | None = None
+    first_byte_s: float | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an instance that got it has not said it did not run."""
-        return self.runs > 0
+        """Whether an instance may have run the request."""
+        return self.possible_runs > 0
 
     @property
     def may_repeat(self) -> bool:
-        """Whether the request may run on one more instance."""
+        """Whether the route allows another run."""
         route = self.match.route
-        return route.repeatable and self.runs < route.attempts
+        return route.repeatable and self.possible_runs < route.attempts
 
     @property
     def instance_id(self) -> str:
-        """The instance that it was offered to last, or ``''``."""
+        """Id of the last instance tried, or ``''``."""
         return self.choice.instance.id if self.choice else ''
 
     @property
     def parts(self) -> tuple[prefixes.Part, ...]:
-        """The parts of its prompt, if instances cache them."""
+        """Prompt parts, if the instances cache prefixes."""
         return self.request.parts if self.match.route.prefix_cached else ()
 
     def headers(
         self, names: gateway_headers.HeaderNames, instance: placement.Instance
     ) -> httputil.HTTPHeaders:
-        """Return the headers of the next offer, to an instance."""
+        """Return the headers of an attempt on an instance."""
         request = self.request
         headers = request.headers.copy()
-        left_s = self.until - asyncio.get_running_loop().time()
-        headers[names.deadline_ms] = str(max(1, int(left_s * 1000)))
+        remaining_s = self.deadline - asyncio.get_running_loop().time()
+        headers[names.deadline_ms] = str(max(1, int(remaining_s * 1000)))
         headers[names.expected_instance] = instance.id
         if self.match.account:
             headers[names.account] = self.match.account
@@ -117,35 +120,35 @@
             headers['Content-Length'] = str(len(request.body))
         return headers
 
-    def stages(self) -> dict[str, typing.Any]:
-        """Return the fields of a log line that say where its time went."""
+    def timing_fields(self) -> dict[str, typing.Any]:
+        """Return the log fields with the timings of the request."""
         return {
             'waited_ms': round(self.waited_s * 1000, 1),
             'connect_ms': round(self.connect_s * 1000, 1),
-            'first_ms': _milliseconds(self.first_s),
+            'first_ms': _to_ms(self.first_byte_s),
         }
 
-    # -- what an attempt tells -------------------------------------------
+    # -- attempt.Relay ---------------------------------------------------
 
     async def begin(self, head: attempt.Head) -> None:
-        """Pass on the head of a stream; a resumed one has its first."""
+        """Pass on the head of a stream, unless the stream is resumed."""
         if not self.reply.started:
             await self.reply.begin(head)
 
     async def events(self, chunk: bytes) -> None:
-        """Pass on whole events."""
-        whole = self.splitter.feed(chunk)
-        if whole:
-            await self.reply.write(whole)
-
-    def hear(self) -> None:
-        """Note that the instance said something."""
-        if self.first_s is None:
+        """Pass on complete events."""
+        complete = self.splitter.feed(chunk)
+        if complete:
+            await self.reply.write(complete)
+
+    def on_activity(self) -> None:
+        """Record the time to first byte and restart the silence timeout."""
+        if self.first_byte_s is None:
             now = asyncio.get_running_loop().time()
-            self.first_s = now - self.request.received
-        if self.silence is not None:
-            self.silence.hear()
+            self.first_byte_s = now - self.request.received
+        if self.idle_timer is not None:
+            self.idle_timer.reset()
 
 
-def _milliseconds(seconds: float | None) -> float | None:
+def _to_ms(seconds: float | None) -> float | None:
     return None if seconds is None else round(seconds * 1000, 1)
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -1,8 +1,7 @@
-"""The way of a request: route, instance, attempts, final answer.
+"""Request forwarding: routing, choice of an instance, attempts, answer.
 
-A request that is not idempotent is sent once. Only where it is proved
-that no instance got it, or where the instance says that it did not run
-it, may another instance get it.
+A request that is not idempotent is sent to another instance only if the
+previous one provably did not get it or reports that it did not run it.
 """
 
 import asyncio
@@ -32,86 +31,88 @@
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
 
-# Instances that one request is offered to, refusals included.
-_MOST_OFFERS = 3
-# For a refusal whose cause names no time, in seconds.
-_COME_BACK_S = 0.3
-_MISDIRECTED = 421
-# What callers take as "not run, and never will be".
-_PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
-_FIRST_FAILURE = 500
+# Attempts for one request, refusals included.
+_MAX_OFFERS = 3
+# Retry-After for refusals without a specific time, in seconds.
+_RETRY_AFTER_S = 0.3
+_MISDIRECTED_STATUS = 421
+# Statuses that callers take as "the request was not run".
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+_MIN_FAILURE_STATUS = 500
 
 
 class Forwarder:
-    """Serves the requests of this gateway.
+    """Forwards requests of callers to instances.
 
-    :param state: what this instance knows of the fleet
-    :param entrance: says whether it may serve now
+    :param state: this instance's view of the fleet
+    :param gate: admits requests while the lease is valid
     """
 
     def __init__(
         self,
         state: fleetstate.FleetState,
-        entrance: lease_gate.Gate,
+        gate: lease_gate.LeaseGate,
         names: gateway_headers.HeaderNames,
-        choice: balancer.Balancer,
-        asked: instance_signals.InstanceSignals,
-        connections: pool.Pool,
+        load_balancer: balancer.Balancer,
+        signals: instance_signals.InstanceSignals,
+        connection_pool: pool.Pool,
         budgets: repeats.RetryBudgets,
-        ends: end_detector.EndDetector,
-        held: suspects.SuspectTracker,
+        detector: end_detector.EndDetector,
+        suspect_tracker: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
         self._state = state
-        self._gate = entrance
+        self._gate = gate
         self._names = names
-        self._balancer = choice
-        self._wishes = asked
-        self._pool = connections
+        self._balancer = load_balancer
+        self._signals = signals
+        self._pool = connection_pool
         self._metrics = counters
         self._table: routes.Table | None = None
         self._budgets = budgets
-        self._witness = ends
-        self._suspects = held
-        self._ledger = request_log.Ledger(state, counters)
+        self._end_detector = detector
+        self._suspects = suspect_tracker
+        self._request_log = request_log.RequestLog(state, counters)
         self._running = 0
 
     @property
     def running(self) -> int:
-        """Requests in flight."""
+        """Number of requests in flight."""
         return self._running
 
     async def serve(
         self, request: gateway_headers.Request, reply: exchanges.Reply
     ) -> None:
-        """Give a request its final answer, and log what decided it."""
+        """Answer a request, and log its outcome."""
         self._running += 1
         exchange: exchanges.Exchange | None = None
         try:
-            waited_s = await self._gate.enter(request.deadline)
+            waited_s = await self._gate.wait_until_open(request.deadline)
             exchange = self._admit(request, reply)
             exchange.waited_s = waited_s
             await self._run(exchange)
-            self._ledger.note(events.REQUEST_SERVED, request, exchange)
+            self._request_log.record(events.REQUEST_SERVED, request, exchange)
         except errors.HoneyportError as error:
-            refused = error.ran is False
+            is_refused = error.ran is False
             event = (
-                events.REQUEST_REFUSED if refused else events.REQUEST_BROKEN
+                events.REQUEST_REFUSED if is_refused else events.REQUEST_BROKEN
             )
-            self._ledger.note(event, request, exchange, error)
+            self._request_log.record(event, request, exchange, error)
             await reply.refuse(error)
         except asyncio.CancelledError:
-            self._ledger.note(events.REQUEST_ABANDONED, request, exchange)
+            self._request_log.record(
+                events.REQUEST_ABANDONED, request, exchange
+            )
             raise
         finally:
             self._running -= 1
 
     def table(self) -> routes.Table:
-        """Return the routes in force here.
+        """Return the routes of the configuration in force.
 
         :raises errors.NotReady: without a configuration or a lease
         """
-        self._gate.check()
+        self._gate.check_lease()
         bundle = self._state.bundle
         if self._table is None or self._table.version != bundle.version:
             self._table = routes.Table(bundle)
@@ -138,58 +139,62 @@
         )
 
     async def _run(self, exchange: exchanges.Exchange) -> None:
-        """Try until there is a final answer, or the time is over."""
+        """Try instances until there is a final answer.
+
+        :raises errors.DeadlinePassed: if time is over and it may have run
+        :raises errors.Overloaded: if time is over and it did not run
+        """
         try:
-            async with asyncio.timeout_at(exchange.until):
+            async with asyncio.timeout_at(exchange.deadline):
                 await self._try_instances(exchange)
         except TimeoutError:
             if exchange.may_have_run:
                 error = errors.DeadlinePassed()
-                self._testify(exchange, error)
+                self._notify_end_detector(exchange, error)
                 raise error from None
-            raise errors.Overloaded(retry_after=_COME_BACK_S) from None
+            raise errors.Overloaded(retry_after=_RETRY_AFTER_S) from None
 
     async def _try_instances(self, exchange: exchanges.Exchange) -> None:
         while True:
             try:
-                async with self._let_in(exchange):
-                    await self._offer(exchange)
+                async with self._admit_suspect(exchange):
+                    await self._try_next_instance(exchange)
                 return
             except errors.HoneyportError as error:
-                if self._may_go_on(exchange, error):
+                if self._may_retry(exchange, error):
                     exchange.splitter.restart()
                     continue
-                if exchange.failure is None:
-                    raise _true_of_all(exchange, error) from None
-                await self._finish(exchange, exchange.failure)
+                if exchange.failed_answer is None:
+                    raise _combine_error(exchange, error) from None
+                await self._finish(exchange, exchange.failed_answer)
                 return
 
     @contextlib.asynccontextmanager
-    async def _let_in(
+    async def _admit_suspect(
         self, exchange: exchanges.Exchange
     ) -> collections.abc.AsyncIterator[None]:
-        """Hold a request back if it may end the instance that runs it.
+        """Hold a permit for a request that may crash its instance.
 
         :raises errors.HoneyportError: if it may not be sent now
         """
-        # Unsettled, a copy would go to the next instance while nobody knows
-        # whether this request ended the last one.
-        if exchange.runs >= suspicion.PERMIT_MIN_ENDS:
-            await self._witness.wait_probed(exchange.instance_id)
+        # Do not retry before it is known whether the request crashed the
+        # previous instance.
+        if exchange.possible_runs >= suspicion.PERMIT_MIN_ENDS:
+            await self._end_detector.wait_probed(exchange.instance_id)
         async with self._suspects.admit(
             exchange.fingerprint,
-            lambda call: self._witness.call_when_probed(
+            lambda call: self._end_detector.call_when_probed(
                 exchange.instance_id, call
             ),
         ):
             yield
 
-    async def _offer(self, exchange: exchanges.Exchange) -> None:
-        """Offer the request to one instance; return once it is answered.
+    async def _try_next_instance(self, exchange: exchanges.Exchange) -> None:
+        """Send the request to one instance and pass on its answer.
 
         :raises errors.HoneyportError: if that instance did not answer it
         """
-        # Again before every send: routes and keys may be gone by now.
+        # Repeated for each attempt: routes and keys may have been removed.
         request = exchange.request
         table = self.table()
         table.find(request.host, request.path, request.api_key)
@@ -204,7 +209,7 @@
             try:
                 answer = await self._send(exchange, instance)
             except errors.HoneyportError as error:
-                self._judge(exchange, instance, error)
+                self._handle_failure(exchange, instance, error)
                 raise
         self._balancer.record_success(instance, exchange.parts)
         if answer.head.is_success:
@@ -216,90 +221,93 @@
     ) -> attempt.Answer:
         exchange.tried.add(instance.id)
         exchange.offers += 1
-        began = asyncio.get_running_loop().time()
-        connection = await self._pool.take(instance)
-        exchange.connect_s += asyncio.get_running_loop().time() - began
-        kept = False
+        started_at = asyncio.get_running_loop().time()
+        connection = await self._pool.acquire(instance)
+        exchange.connect_s += asyncio.get_running_loop().time() - started_at
+        is_released = False
         try:
-            # Connecting took time: the lease may have ended meanwhile, or the
-            # instance may have asked another request for rest.
-            self._gate.check()
-            self._wishes.check_not_resting(instance)
-            exchange.failure = None
-            exchange.runs += 1
+            # Checked again after connecting: the lease may have expired or
+            # the instance may have asked for rest meanwhile.
+            self._gate.check_lease()
+            self._signals.check_not_resting(instance)
+            exchange.failed_answer = None
+            exchange.possible_runs += 1
             answer = await self._attempt(exchange, connection)
-            keep_s = attempt.keep_alive_s(answer.head)
-            if keep_s != 0:
-                self._pool.give(connection, keep_s)
-                kept = True
+            keep_alive_s = attempt.keep_alive_s(answer.head)
+            if keep_alive_s != 0:
+                self._pool.release(connection, keep_alive_s)
+                is_released = True
         finally:
-            if not kept:
+            if not is_released:
                 connection.close()
-        return self._checked(exchange, answer)
+        return self._check_answer(exchange, answer)
 
     async def _attempt(
         self, exchange: exchanges.Exchange, connection: pool.Connection
     ) -> attempt.Answer:
-        """Return the answer of an instance that does not fall silent.
+        """Return the answer of an instance.
 
-        :raises errors.BackendSilent: if it does, and another instance may
-            get the request
+        :raises errors.BackendSilent: if nothing arrives in time and the
+            request may be sent to another instance
         """
         limits = None
         if exchange.may_repeat:
             limits = silence.patience(exchange.match.route)
         headers = exchange.headers(self._names, connection.instance)
-        began = asyncio.get_running_loop().time()
-        sent = attempt.Attempt(
+        sent_at = asyncio.get_running_loop().time()
+        single_attempt = attempt.Attempt(
             connection,
             self._names,
             exchange,
-            lambda head: self._wishes.observe(
-                connection.instance, head, began
+            lambda head: self._signals.observe(
+                connection.instance, head, sent_at
             ),
         )
         try:
-            async with silence_timeout.Watch(limits) as exchange.silence:
-                return await sent.run(exchange.request, headers)
+            async with silence_timeout.SilenceTimeout(
+                limits
+            ) as exchange.idle_timer:
+                return await single_attempt.run(exchange.request, headers)
         except TimeoutError:
-            raise errors.BackendSilent(f'it said nothing: {limits}') from None
+            raise errors.BackendSilent(
+                f'no bytes received within {limits}'
+            ) from None
 
-    def _checked(
+    def _check_answer(
         self, exchange: exchanges.Exchange, answer: attempt.Answer
     ) -> attempt.Answer:
-        """Return an answer that may be passed on.
+        """Return the answer if it may be passed on.
 
-        :raises errors.NotExecuted: if the instance did not run it
-        :raises errors.AttemptFailed: if it ran and failed, and another
-            instance may be tried
+        :raises errors.NotExecuted: if the instance did not run the request
+        :raises errors.AttemptFailed: if the request ran and failed
         """
         head = answer.head
-        if head.status == _MISDIRECTED:
-            exchange.runs -= 1
-            raise errors.Misdirected(retry_after=_COME_BACK_S)
+        if head.status == _MISDIRECTED_STATUS:
+            exchange.possible_runs -= 1
+            raise errors.Misdirected(retry_after=_RETRY_AFTER_S)
         if self._names.not_run in head.headers:
-            exchange.runs -= 1
+            exchange.possible_runs -= 1
             raise errors.NotExecuted(
-                f'status {head.status}', retry_after=_COME_BACK_S
+                f'status {head.status}', retry_after=_RETRY_AFTER_S
             )
-        promises = head.status in _PROMISES_NOT_RUN
-        if head.status < _FIRST_FAILURE and not promises:
+        says_not_run = head.status in _NOT_RUN_STATUSES
+        if head.status < _MIN_FAILURE_STATUS and not says_not_run:
             return answer
-        # Passed on, a promise would say that the request did not run.
+        # A "not run" status is never passed on: the request may have run.
         started = exchange.reply.started
-        if not promises and not started:
-            exchange.failure = answer
+        if not says_not_run and not started:
+            exchange.failed_answer = answer
             if not exchange.may_repeat:
                 return answer
         raise errors.AttemptFailed(f'status {head.status}')
 
-    def _judge(
+    def _handle_failure(
         self,
         exchange: exchanges.Exchange,
         instance: placement.Instance,
         error: errors.HoneyportError,
     ) -> None:
-        """Log a failed offer; leave the instance alone if it is at fault."""
+        """Log a failed attempt; avoid the instance if it is at fault."""
         logs.emit(
             events.ATTEMPT_FAILED,
             request=exchange.request.request_id,
@@ -314,60 +322,63 @@
             ),
         )
         self._metrics.count('attempts_failed', code=error.code)
-        self._testify(exchange, error)
-        # Another instance has its address: it is gone, and only the list is
-        # late to say so. Offered to it again and again, requests would use up
-        # the allowance of offers.
-        is_gone = isinstance(error, (errors.NotSent, errors.Misdirected))
-        if is_gone or isinstance(error, errors.BackendLost):
+        self._notify_end_detector(exchange, error)
+        # Misdirected: another instance has this address and the list is
+        # outdated. Further attempts would use up the retry budget.
+        was_not_reached = isinstance(
+            error, (errors.NotSent, errors.Misdirected)
+        )
+        if was_not_reached or isinstance(error, errors.BackendLost):
             self._balancer.record_failure(
-                instance, error.code, was_reached=not is_gone
+                instance, error.code, was_reached=not was_not_reached
             )
 
-    def _testify(
+    def _notify_end_detector(
         self, exchange: exchanges.Exchange, error: errors.HoneyportError
     ) -> None:
-        """Tell the witness what a failed offer says of its instance."""
+        """Report a failed attempt to the end detector."""
         if exchange.choice is None:
             return
         instance = exchange.choice.instance
         if isinstance(error, (errors.BackendSilent, errors.DeadlinePassed)):
-            self._witness.record_timeout(instance, exchange.fingerprint)
+            self._end_detector.record_timeout(instance, exchange.fingerprint)
         elif isinstance(error, errors.BackendLost):
-            self._witness.record_broken(instance, exchange.fingerprint)
+            self._end_detector.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
-            self._witness.record_gone(
+            self._end_detector.record_gone(
                 instance.id, end_detector.CONNECTION_REFUSED
             )
         elif isinstance(error, errors.Misdirected):
-            self._witness.record_gone(instance.id, end_detector.ADDRESS_REUSED)
+            self._end_detector.record_gone(
+                instance.id, end_detector.ADDRESS_REUSED
+            )
 
-    def _may_go_on(
+    def _may_retry(
         self, exchange: exchanges.Exchange, error: errors.HoneyportError
     ) -> bool:
-        """Whether another instance may get the request after an error."""
+        """Whether another instance may be tried after an error."""
         if isinstance(error, errors.InstanceRests):
             return True
-        if exchange.offers >= _MOST_OFFERS:
+        if exchange.offers >= _MAX_OFFERS:
             return False
         if isinstance(error, errors.NotSent):
             return True
         if isinstance(error, errors.NotExecuted):
-            return self._spend(exchange)
-        failed = (
+            return self._try_spend(exchange)
+        retryable = (
             errors.AttemptFailed,
             errors.BackendLost,
             errors.ForeignAnswer,
         )
-        if not isinstance(error, failed) or not exchange.may_repeat:
+        if not isinstance(error, retryable) or not exchange.may_repeat:
             return False
-        return self._spend(exchange)
+        return self._try_spend(exchange)
 
-    def _spend(self, exchange: exchanges.Exchange) -> bool:
-        """Take one more offer out of the allowance, if there is one."""
+    def _try_spend(self, exchange: exchanges.Exchange) -> bool:
+        """Take one retry from the budget; return whether there was one."""
         now = asyncio.get_running_loop().time()
-        allowed = self._budgets.try_spend(exchange.service, now)
-        if not allowed:
+        is_allowed = self._budgets.try_spend(exchange.service, now)
+        if not is_allowed:
             logs.emit(
                 events.ALLOWANCE_SPENT,
                 request=exchange.request.request_id,
@@ -376,26 +387,30 @@
                 gateways=len(self._state.serving_routers),
             )
             self._metrics.count('allowance_spent', service=exchange.service)
-        return allowed
+        return is_allowed
 
     async def _finish(
         self, exchange: exchanges.Exchange, answer: attempt.Answer
     ) -> None:
-        if not answer.relayed:
+        if not answer.is_relayed:
             await exchange.reply.answer(answer.head, answer.body)
             return
-        rest = exchange.splitter.rest()
-        if rest:
-            await exchange.reply.write(rest)
+        remainder = exchange.splitter.rest()
+        if remainder:
+            await exchange.reply.write(remainder)
         await exchange.reply.end()
 
 
-def _true_of_all(
+def _combine_error(
     exchange: exchanges.Exchange, error: errors.HoneyportError
 ) -> errors.HoneyportError:
-    """Return an error that is true of all offers, not of the last alone."""
+    """Return an error that holds for all attempts, not only the last.
+
+    Without it, a refusal of the last attempt would say "not run" though an
+    earlier attempt may have run.
+    """
     if error.ran is False and exchange.may_have_run:
         return errors.BackendLost(
-            f'an earlier attempt may have run; the last one: {error.detail}'
+            f'an earlier attempt may have run; last attempt: {error.detail}'
         )
     return error
--- a/src/honeyport/gateway/lease_gate.py
+++ b/src/honeyport/gateway/lease_gate.py
@@ -1,4 +1,4 @@
-"""Whether a request may be served here now, by the lease of this gateway."""
+"""Admission of requests by the lease of this gateway."""
 
 import asyncio
 
@@ -7,64 +7,68 @@
 from honeyport.router import fleetstate
 
 
-class Gate:
-    """Lets requests in while the lease stands.
+class LeaseGate:
+    """Admits requests while the gateway holds a lease.
 
-    :param state: what this instance knows of the fleet
+    :param state: this instance's view of the fleet
     """
 
     def __init__(self, state: fleetstate.FleetState) -> None:
         self._state = state
-        self._started = float('-inf')
+        self._started_at = float('-inf')
         self._has_served = False
-        self._opened = asyncio.Event()
+        self._open_event = asyncio.Event()
 
     def start(self) -> None:
-        """Note that callers may come from now on."""
-        self._started = _now()
+        """Record that the gateway accepts callers from now on."""
+        self._started_at = _now()
 
-    def take_news(self) -> None:
-        """Look at the lease; let in who waits if it stands."""
+    def update(self) -> None:
+        """Admit waiting requests if the lease is valid."""
         if self._state.may_serve:
             self._has_served = True
-            self._opened.set()
+            self._open_event.set()
 
-    def check(self) -> None:
-        """Raise an error unless requests may be sent now.
+    def check_lease(self) -> None:
+        """Check that requests may be sent now.
 
         :raises errors.NotReady: without a configuration or a lease
         """
         try:
             self._state.check_lease()
         except errors.NotReady as error:
-            back_s = admission.retry_after_s(self._standing(), _now())
-            raise errors.NotReady(error.detail, retry_after=back_s) from None
+            retry_after_s = admission.retry_after_s(
+                self._start_state(), _now()
+            )
+            raise errors.NotReady(
+                error.detail, retry_after=retry_after_s
+            ) from None
 
-    async def enter(self, deadline: float) -> float:
-        """Return once requests may be sent; wait if that is due soon.
+    async def wait_until_open(self, deadline: float) -> float:
+        """Wait until requests may be sent, if a lease is due soon.
 
-        :param deadline: when the caller leaves
-        :returns: how long it waited, in seconds
-        :raises errors.NotReady: if they may not
+        :param deadline: loop time after which the caller waits no longer
+        :returns: time waited, in seconds
+        :raises errors.NotReady: if requests may not be sent
         """
         if self._state.may_serve:
             return 0.0
-        began = _now()
+        started_at = _now()
         until = admission.lease_wait_deadline(
-            self._standing(), deadline, began
+            self._start_state(), deadline, started_at
         )
         if until is not None:
             try:
                 async with asyncio.timeout_at(until):
-                    await self._opened.wait()
+                    await self._open_event.wait()
             except TimeoutError:
-                pass  # what follows says why, and when to come back
-        self.check()
-        return _now() - began
+                pass  # check_lease raises with the reason and retry time
+        self.check_lease()
+        return _now() - started_at
 
-    def _standing(self) -> admission.StartState:
+    def _start_state(self) -> admission.StartState:
         return admission.StartState(
-            started=self._started, has_served=self._has_served
+            started=self._started_at, has_served=self._has_served
         )
 
 
--- a/src/honeyport/gateway/pool.py
+++ b/src/honeyport/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to instances, kept for a while between two requests."""
+"""Pool of idle connections to instances."""
 
 import asyncio
 import collections
@@ -12,82 +12,92 @@
 from honeyport.backend import refusals
 from honeyport.policy import placement
 
-# Longer than a round trip between failure domains and a SYN in a busy queue,
-# in seconds.
-_CONNECT_S = 0.3
-# Without an acknowledgement for so long, what was sent is lost: three times
-# TCP's first retransmission (0.2 s), and the fourth's wait.
-_UNACKNOWLEDGED_MS = 1000
-# Keep-alive probes of a connection on which nothing moves, in whole seconds,
-# the least that TCP takes.
-_PROBE_S = 1
-_MOST_PROBES = 2
-# How long a connection is kept whose peer names no timeout, in seconds.
-_KEPT_S = 2.0
-_KEPT_SHARE = 0.5  # of the timeout that the peer names
-_MOST_KEPT = 4  # of one instance: connections are counted by all callers
-_BUFFER_BYTES = 1024 * 1024
-# When an instance may take connections again that took none, in seconds: the
-# first pause in which it is left alone.
-_COME_BACK_S = 0.5
+_CONNECT_TIMEOUT_S = 0.3
+# TCP_USER_TIMEOUT: closes a connection whose data is not acknowledged.
+_USER_TIMEOUT_MS = 1000
+# TCP keep-alive, in whole seconds (the kernel's resolution).
+_KEEP_ALIVE_INTERVAL_S = 1
+_KEEP_ALIVE_PROBES = 2
+# For a peer that names no timeout, in seconds.
+_IDLE_TIMEOUT_S = 2.0
+_PEER_TIMEOUT_RATIO = 0.5  # share of the timeout that the peer names
+_MAX_IDLE_PER_INSTANCE = 4
+_MAX_BUFFER_BYTES = 1024 * 1024
+# Retry-After if no connection can be made, in seconds: the first pause for
+# which the instance is avoided.
+_RETRY_AFTER_S = 0.5
 
 
 @attrs.define
 class Connection:
-    """One connection to one instance, for one request at a time."""
+    """A connection to an instance, for one request at a time.
+
+    :ivar reused: whether it was taken from the pool
+    :ivar expires_at: loop time after which it is not reused
+    """
 
     instance: placement.Instance
     stream: iostream.IOStream
     reused: bool = False
-    expires: float = 0.0
+    expires_at: float = 0.0
 
     def close(self) -> None:
-        """Close it; an instance stops what it does for it."""
+        """Close the connection, which cancels its request on the instance."""
         self.stream.close()
 
 
 class Pool:
-    """The idle connections of this gateway."""
+    """Idle connections of a gateway, by instance."""
 
     def __init__(self) -> None:
         self._idle: dict[str, collections.deque[Connection]] = {}
         self._client = tcpclient.TCPClient()
 
-    async def take(self, instance: placement.Instance) -> Connection:
-        """Return a connection that looks alive.
+    async def acquire(self, instance: placement.Instance) -> Connection:
+        """Return an idle connection, or open one.
 
-        :raises errors.NotSent: if there is none and none can be made
+        :raises errors.NotSent: if connecting fails
         """
         idle = self._idle.get(instance.id)
         while idle:
             connection = idle.pop()
-            if _is_quiet(connection):
+            if _is_reusable(connection):
                 connection.reused = True
                 return connection
             connection.close()
         return await self._connect(instance)
 
-    def give(self, connection: Connection, keep_alive_s: float | None) -> None:
-        """Keep a connection whose answer was read to its end.
+    def release(
+        self, connection: Connection, keep_alive_s: float | None
+    ) -> None:
+        """Return a connection whose answer was read completely.
 
-        :param keep_alive_s: the timeout that the peer named, if any
+        :param keep_alive_s: idle timeout that the peer named, in seconds
         """
         idle = self._idle.setdefault(
             connection.instance.id, collections.deque()
         )
-        if connection.stream.closed() or len(idle) >= _MOST_KEPT:
+        if connection.stream.closed() or len(idle) >= _MAX_IDLE_PER_INSTANCE:
             connection.close()
             return
-        kept_s = _KEPT_S
+        idle_timeout_s = _IDLE_TIMEOUT_S
         if keep_alive_s is not None:
-            kept_s = min(kept_s, keep_alive_s * _KEPT_SHARE)
-        connection.expires = asyncio.get_running_loop().time() + kept_s
+            idle_timeout_s = min(
+                idle_timeout_s, keep_alive_s * _PEER_TIMEOUT_RATIO
+            )
+        connection.expires_at = (
+            asyncio.get_running_loop().time() + idle_timeout_s
+        )
         idle.append(connection)
 
     def retain(self, usable: collections.abc.Container[str]) -> None:
         """Close the idle connections to all other instances."""
-        for name in [name for name in self._idle if name not in usable]:
-            for connection in self._idle.pop(name):
+        for instance_id in [
+            instance_id
+            for instance_id in self._idle
+            if instance_id not in usable
+        ]:
+            for connection in self._idle.pop(instance_id):
                 connection.close()
 
     def close(self) -> None:
@@ -95,11 +105,11 @@
         self.retain(())
 
     async def probe(self, instance: placement.Instance) -> None:
-        """Connect to an instance; the connection is kept for a request.
+        """Connect to an instance and keep the connection for a request.
 
-        :raises errors.NotSent: if that fails
+        :raises errors.NotSent: if connecting fails
         """
-        self.give(await self._connect(instance), None)
+        self.release(await self._connect(instance), None)
 
     async def _connect(self, instance: placement.Instance) -> Connection:
         host, _, port = instance.address.rpartition(':')
@@ -108,42 +118,42 @@
                 host,
                 int(port),
                 af=socket.AF_INET,
-                max_buffer_size=_BUFFER_BYTES,
-                timeout=_CONNECT_S,
+                max_buffer_size=_MAX_BUFFER_BYTES,
+                timeout=_CONNECT_TIMEOUT_S,
             )
         except (OSError, TimeoutError) as error:
             cause = refusals.cause(error)
             raise refusals.kind(cause)(
-                f'{instance.address}: {cause!r}', retry_after=_COME_BACK_S
+                f'{instance.address}: {cause!r}', retry_after=_RETRY_AFTER_S
             ) from None
         stream.set_nodelay(True)
-        _watch(stream.socket)
+        _enable_keep_alive(stream.socket)
         return Connection(instance, stream)
 
 
-def _watch(connected: socket.socket) -> None:
-    """Have the kernel notice a peer that is gone without a word."""
+def _enable_keep_alive(sock: socket.socket) -> None:
+    """Make the kernel detect a peer that vanished without closing."""
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _MOST_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEP_ALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEP_ALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEP_ALIVE_PROBES),
     )
     for level, option, value in options:
-        connected.setsockopt(level, option, value)
+        sock.setsockopt(level, option, value)
 
 
-def _is_quiet(connection: Connection) -> bool:
-    """Whether an idle connection is open and nothing arrived on it.
+def _is_reusable(connection: Connection) -> bool:
+    """Whether an idle connection is open and has no unread bytes.
 
-    Bytes that nobody asked for belong to no request of ours.
+    Unread bytes on an idle connection belong to no request.
     """
     stream = connection.stream
-    expired = connection.expires < asyncio.get_running_loop().time()
+    expired = connection.expires_at < asyncio.get_running_loop().time()
     if expired or stream.closed():
         return False
-    # Tornado reads ahead and offers no other look at what it holds.
+    # Tornado reads ahead; it has no public access to its read buffer.
     if stream._read_buffer_size:
         return False
     try:
--- a/src/honeyport/gateway/request_log.py
+++ b/src/honeyport/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""The one line of each request: how it ended, and where its time went."""
+"""The log line of each request: its outcome and timings."""
 
 import asyncio
 import typing
@@ -13,10 +13,11 @@
 from honeyport.telemetry import metrics
 
 
-class Ledger:
-    """Writes the line of each request, and counts it.
+class RequestLog:
+    """Logs and counts finished requests.
 
-    :param state: what this instance knows of the fleet
+    :param state: this instance's view of the fleet
+    :param counters: metrics registry
     """
 
     def __init__(
@@ -25,21 +26,28 @@
         self._state = state
         self._metrics = counters
 
-    def note(
+    def record(
         self,
         event: events.Event,
         request: gateway_headers.Request,
         exchange: exchanges.Exchange | None,
         error: errors.HoneyportError | None = None,
     ) -> None:
-        """Write the one line of a request, and count it."""
+        """Log one line for a request, and count it.
+
+        :param event: how the request ended
+        :param exchange: ``None`` if it was not admitted
+        :param error: the error that was returned to the caller, if any
+        """
         took_s = asyncio.get_running_loop().time() - request.received
         self._metrics.count('requests', outcome=event.name)
         self._metrics.observe('request_seconds', took_s)
         if exchange is not None:
             self._metrics.observe('request_waited_seconds', exchange.waited_s)
-        if exchange is not None and exchange.first_s is not None:
-            self._metrics.observe('request_first_seconds', exchange.first_s)
+        if exchange is not None and exchange.first_byte_s is not None:
+            self._metrics.observe(
+                'request_first_seconds', exchange.first_byte_s
+            )
         fields: dict[str, typing.Any] = {
             'request': request.request_id,
             'took_ms': round(took_s * 1000, 1),
@@ -54,7 +62,7 @@
                 'service': exchange.service,
                 'offers': exchange.offers,
                 'fingerprint': exchange.fingerprint,
-            } | exchange.stages()
+            } | exchange.timing_fields()
             if exchange.choice is not None:
                 fields |= balancer.log_fields(exchange.choice)
         if error is not None:
--- a/src/honeyport/gateway/routes.py
+++ b/src/honeyport/gateway/routes.py
@@ -11,11 +11,12 @@
 
 @attrs.frozen
 class Match:
-    """Where a request goes, and on whose account.
+    """The route and client account of a request.
 
-    :ivar account: its client account, or ``''`` on a public route
-    :ivar priority: its rank, 0 first
-    :ivar regions: the only ones in which it may run; ``None`` for any
+    :ivar name: name of the route
+    :ivar account: client account, or ``''`` on a public route
+    :ivar priority: 0 is the highest
+    :ivar regions: regions in which it may run; ``None`` for any
     """
 
     name: str
@@ -26,73 +27,78 @@
 
 
 class Table:
-    """Finds the route of a request.
+    """Routes and API keys of a configuration.
 
-    :param bundle: the configuration in force here
+    :param bundle: the configuration in force
     """
 
     def __init__(self, bundle: model.Bundle) -> None:
         self._version = bundle.version
         self._accounts = bundle.accounts
         self._services = bundle.services
-        self._holders = {
+        self._account_by_key = {
             key: name
             for name, account in bundle.accounts.items()
             for key in account.keys
         }
-        self._hosts: dict[str, list[tuple[str, model.Route]]] = {}
+        self._routes_by_host: dict[str, list[tuple[str, model.Route]]] = {}
         for name, route in bundle.routes.items():
-            self._hosts.setdefault(route.host, []).append((name, route))
-        for routes in self._hosts.values():
+            self._routes_by_host.setdefault(route.host, []).append(
+                (name, route)
+            )
+        for routes in self._routes_by_host.values():
             routes.sort(key=lambda pair: len(pair[1].prefix), reverse=True)
 
     @property
     def version(self) -> int:
-        """The version of the configuration."""
+        """Version of the configuration."""
         return self._version
 
     def find(self, host: str, path: str, api_key: str) -> Match:
-        """Return the route with the longest prefix of a path.
+        """Return the route with the longest matching path prefix.
 
-        :raises errors.UnknownRoute: if there is none
-        :raises errors.UnknownKey: if it needs a key that nobody holds
+        :raises errors.UnknownRoute: if no route matches
+        :raises errors.UnknownKey: if no client account holds the API key
         """
-        for name, route in self._hosts.get(host, ()):
+        for name, route in self._routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return self._match(name, route, api_key)
         raise errors.UnknownRoute(f'no route for {host}{path}')
 
     def _match(self, name: str, route: model.Route, api_key: str) -> Match:
         if route.public or not self._accounts:
-            regions = _common(route.regions, ())
+            regions = _intersect_regions(route.regions, ())
             return Match(name, route, '', route.priority, regions)
-        holder = self._holders.get(api_key)
-        if holder is None:
+        account_name = self._account_by_key.get(api_key)
+        if account_name is None:
             raise errors.UnknownKey('no client account holds this API key')
-        account = self._accounts[holder]
-        rank = account.priority
-        priority = route.priority if rank is None else rank
-        regions = _common(route.regions, account.regions)
-        return Match(name, route, holder, priority, regions)
-
-
-def _common(
-    one: collections.abc.Collection[str],
-    other: collections.abc.Collection[str],
+        account = self._accounts[account_name]
+        account_priority = account.priority
+        priority = (
+            route.priority if account_priority is None else account_priority
+        )
+        regions = _intersect_regions(route.regions, account.regions)
+        return Match(name, route, account_name, priority, regions)
+
+
+def _intersect_regions(
+    route_regions: collections.abc.Collection[str],
+    account_regions: collections.abc.Collection[str],
 ) -> frozenset[str] | None:
-    """Return the regions that two lists allow; an empty one allows any.
+    """Return the regions that a route and an account both allow.
 
-    Where both name some, both bind, also if they have none in common.
+    An empty list allows any region; ``None`` is returned if both are empty.
+    The result is empty if the lists have no region in common.
     """
-    if not one and not other:
+    if not route_regions and not account_regions:
         return None
-    if not one or not other:
-        return frozenset(one or other)
-    return frozenset(one) & frozenset(other)
+    if not route_regions or not account_regions:
+        return frozenset(route_regions or account_regions)
+    return frozenset(route_regions) & frozenset(account_regions)
 
 
 def pick_service(route: model.Route) -> str:
-    """Return one of a route's services by its weight."""
+    """Pick a service of a route at random, by weight."""
     if len(route.weights) == 1:
         return next(iter(route.weights))
     names = list(route.weights)
--- a/src/honeyport/gateway/silence_timeout.py
+++ b/src/honeyport/gateway/silence_timeout.py
@@ -1,4 +1,4 @@
-"""A watch on an instance that may fall silent."""
+"""Timeout for instances that stop sending."""
 
 import asyncio
 import typing
@@ -6,10 +6,10 @@
 from honeyport.policy import silence
 
 
-class Watch:
-    """A timeout that starts again whenever an instance says something.
+class SilenceTimeout:
+    """A timeout that restarts whenever bytes of an instance arrive.
 
-    :param limits: ``None`` for a request that stays where it is
+    :param limits: ``None`` for no timeout
     """
 
     def __init__(self, limits: silence.Patience | None) -> None:
@@ -17,15 +17,15 @@
         first_s = limits.first_s if limits else None
         self._timeout = asyncio.timeout(first_s)
 
-    async def __aenter__(self) -> 'Watch':
+    async def __aenter__(self) -> 'SilenceTimeout':
         await self._timeout.__aenter__()
         return self
 
-    async def __aexit__(self, *raised: typing.Any) -> bool | None:
-        return await self._timeout.__aexit__(*raised)
+    async def __aexit__(self, *exc_info: typing.Any) -> bool | None:
+        return await self._timeout.__aexit__(*exc_info)
 
-    def hear(self) -> None:
-        """Note that the instance said something."""
+    def reset(self) -> None:
+        """Restart the timeout after bytes arrived."""
         if self._limits is None:
             return
         now = asyncio.get_running_loop().time()
