--- a/features/control/storage.feature
+++ b/features/control/storage.feature
@@ -1,24 +1,24 @@
-Feature: The data folder of a replica
+Feature: Storage of a replica in its data folder
 
-  Scenario Outline: a tail that a crash tore is cut
+  Scenario Outline: an incomplete last record is removed
     Given a log of 20 entries
-    When the last record loses its last <lost> bytes
-    Then the log has 19 entries after it is loaded
-    And entries can be added after that
+    When the last record is truncated by <lost> bytes
+    Then 19 entries are loaded from the log
+    And entries can be appended afterwards
 
     Examples:
       | lost |
       | 1    |
       | 9    |
 
-  Scenario: a tail of zeros is cut
+  Scenario: trailing zero bytes are removed
     Given a log of 20 entries
     When 100 zero bytes follow the last record
-    Then the log has 20 entries after it is loaded
+    Then 20 entries are loaded from the log
 
-  Scenario Outline: any other damage keeps the replica from starting
+  Scenario Outline: a corrupted log keeps the replica from starting
     Given a log of 20 entries
-    When the byte at <share> percent of the log is flipped
+    When a bit is flipped at <share> percent of the log
     Then loading fails with "HP-2005"
 
     Examples:
@@ -28,17 +28,17 @@
       | 50    |
       | 99    |
 
-  Scenario: a damaged snapshot keeps the replica from starting
+  Scenario: a corrupted snapshot keeps the replica from starting
     Given a log of 20 entries
     And a snapshot at entry 10
-    When a byte of the snapshot is flipped
+    When a bit of the snapshot is flipped
     Then loading fails with "HP-2005"
 
-  Scenario: a folder is used by one process only
+  Scenario: a data folder cannot be opened twice
     Given a log of 20 entries
     Then opening the folder a second time fails with "HP-2005"
 
-  Scenario: an entry replaces the one with its index and all after it
+  Scenario: an entry replaces the one with its index and all later ones
     Given a log of 20 entries
-    When entry 15 of a later term is added
-    Then the log has 15 entries after it is loaded
+    When entry 15 of a later term is appended
+    Then 15 entries are loaded from the log
--- a/features/control/streams.feature
+++ b/features/control/streams.feature
@@ -1,22 +1,22 @@
-Feature: What a leader does for the streams of hundreds of routers
+Feature: Work of a leader for the streams of hundreds of routers
 
-  Scenario: who the members are is known without reading the log
-    Given a log of 2000 entries, of which the first names the members
-    When it is asked 100 times who the members are
-    Then no entry was looked at more than once
+  Scenario: the members are found without scanning the log
+    Given a log of 2000 entries with the members in the first
+    When the members are read 100 times
+    Then no entry was examined more than once
 
-  Scenario: who the members are, whatever happens to the log
-    Then a log that is added to, overwritten and cut knows its members
+  Scenario: the members are right after any sequence of log operations
+    Then random appends, merges and truncations keep the members right
 
-  Scenario: what there is to tell is found out once, not once a stream
-    Given a leader with the streams of 200 routers
-    When a tick passes without news
-    Then it asked once who the members are
+  Scenario: a tick computes its updates once for all streams
+    Given a leader with 200 router streams
+    When a tick passes without changes
+    Then the member addresses were read once
     And nothing was sent
 
-  Scenario: a stream gets all that there is, and then what changes
-    Given a leader with the streams of 3 routers
+  Scenario: a new stream gets the full state, and then only changes
+    Given a leader with 3 router streams
     When another router attaches
     And a tick passes
-    Then each of the first 3 is told presence, view
-    And the new one is told evacuations, presence, replicas, view
+    Then each of the first 3 streams is sent presence, view
+    And the new stream is sent evacuations, presence, replicas, view
--- a/features/steps/history_steps.py
+++ b/features/steps/history_steps.py
@@ -1,4 +1,4 @@
-"""Steps about random histories of the control log, and losses of power."""
+"""Steps about random failure histories and power losses of replicas."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from features.support import simulation
 from honeyport import errors
 
-_EVENTS = (
+_ACTIONS = (
     'kill',
     'start',
     'isolate',
@@ -21,36 +21,34 @@
     'propose',
     'wait',
 )
-_STRANGERS = ('x0', 'x1', 'x2')  # instances that are no replicas
+_OTHER_INSTANCES = ('x0', 'x1', 'x2')  # names of instances without a replica
 
 
-def _histories(events):
-    """Return the strategy of histories that are made of some events."""
-    one = strategies.tuples(
-        strategies.sampled_from(events), strategies.integers(0, 4)
+def _histories(actions):
+    """Return a strategy for lists of actions and their arguments."""
+    action_and_argument = strategies.tuples(
+        strategies.sampled_from(actions), strategies.integers(0, 4)
     )
-    return strategies.lists(one, min_size=5, max_size=30)
+    return strategies.lists(action_and_argument, min_size=5, max_size=30)
 
 
-# Places that one proposal of a history brings, so that some histories reach a
-# snapshot (every 12 entries).
-_PLACES = 6
+# Places proposed with each bundle, so that some histories reach a snapshot.
+_PLACES_PER_PROPOSAL = 6
 
 
 @behave.when(
-    '{count:d} random histories of {size:d} replicas are played, with lost '
-    'disks'
+    '{count:d} random histories of {size:d} replicas are run, with lost disks'
 )
 def step_histories(context, count, size):
-    _play_histories(context, count, size, _EVENTS)
+    _play_histories(context, count, size, _ACTIONS)
 
 
 @behave.when(
-    '{count:d} random histories of {size:d} replicas are played, with lost '
+    '{count:d} random histories of {size:d} replicas are run, with lost '
     'disks and changed settings'
 )
 def step_histories_with_settings(context, count, size):
-    _play_histories(context, count, size, (*_EVENTS, 'rename'))
+    _play_histories(context, count, size, (*_ACTIONS, 'rename'))
 
 
 def _play_histories(context, count, size, kinds):
@@ -71,72 +69,78 @@
     play()
 
 
-async def history(size, seed, events):
-    """Play one history; check it at the end."""
+async def history(size, seed, actions):
+    """Run one history; check that acknowledged changes are kept."""
     group = simulation.Group(size, seed)
     for name in group.names:
         group.start(name)
     await group.run_for(3)
     acknowledged = {}
-    proposing = []
-    placing = []
-    registering = []
-    for number, (what, which) in enumerate(events):
-        name = group.names[which % size]
-        if what == 'kill':
+    proposal_tasks = []
+    place_tasks = []
+    router_tasks = []
+    for number, (action, argument) in enumerate(actions):
+        name = group.names[argument % size]
+        if action == 'kill':
             await group.kill(name)
-        elif what == 'start' and name not in group.nodes:
+        elif action == 'start' and name not in group.nodes:
             group.start(name)
-        elif what == 'isolate':
+        elif action == 'isolate':
             group.isolate(name)
-        elif what == 'heal':
+        elif action == 'heal':
             group.heal()
-        elif what == 'lose' and may_lose(group):
+        elif action == 'lose' and can_lose_disk(group):
             await group.lose_disk(name)
             group.start(name)
-        elif what == 'power':
+        elif action == 'power':
             await group.lose_power(name)
-        elif what in ('fill', 'free'):
-            group.disks[name].full = what == 'fill'
-        elif what == 'rename':
-            named = group.names[:which] + list(_STRANGERS[which:])
-            group.founders = {other: other for other in named}
-        elif what == 'propose':
-            proposing.append(asyncio.create_task(group.propose(f'e{number}')))
-            placing += [
-                asyncio.create_task(group.place(f'p{number}-{part}'))
-                for part in range(_PLACES)
+        elif action in ('fill', 'free'):
+            group.disks[name].full = action == 'fill'
+        elif action == 'rename':
+            member_names = group.names[:argument] + list(
+                _OTHER_INSTANCES[argument:]
+            )
+            group.initial_members = {member: member for member in member_names}
+        elif action == 'propose':
+            proposal_tasks.append(
+                asyncio.create_task(group.propose(f'e{number}'))
+            )
+            place_tasks += [
+                asyncio.create_task(
+                    group.propose_place(f'p{number}-{place_number}')
+                )
+                for place_number in range(_PLACES_PER_PROPOSAL)
             ]
-            registering.append(
-                asyncio.create_task(group.register(f'g{number}'))
+            router_tasks.append(
+                asyncio.create_task(group.propose_router(f'g{number}'))
             )
         await group.run_for(0.4)
-    for found in await asyncio.gather(*proposing):
-        if found is not None:
-            version, digest = found
-            known = acknowledged.setdefault(version, digest)
-            assert known == digest
-    placed = await asyncio.gather(*placing)
-    registered = await asyncio.gather(*registering)
-    await group.settle()
+    for proposed in await asyncio.gather(*proposal_tasks):
+        if proposed is not None:
+            version, digest = proposed
+            digest_before = acknowledged.setdefault(version, digest)
+            assert digest_before == digest
+    places = await asyncio.gather(*place_tasks)
+    routers = await asyncio.gather(*router_tasks)
+    await group.converge()
     for node in group.nodes.values():
-        kept = node.machine.history
+        digests = node.machine.history
         for version, digest in acknowledged.items():
-            assert kept.get(version) == digest, (version, digest, kept)
-        lost = set(filter(None, placed)) - set(node.machine.places)
+            assert digests.get(version) == digest, (version, digest, digests)
+        lost = set(filter(None, places)) - set(node.machine.places)
         assert not lost, (lost, node.machine.places)
-        lost = set(filter(None, registered)) - set(node.machine.routers)
+        lost = set(filter(None, routers)) - set(node.machine.routers)
         assert not lost, (lost, node.machine.routers)
     await group.stop()
 
 
-def may_lose(group):
-    """Whether all others have a disk that counts: one loss at a time."""
+def can_lose_disk(group):
+    """Return whether the group tolerates the loss of a disk now."""
     nodes = list(group.nodes.values())
     leading = [node for node in nodes if node.leads]
     return (
         len(nodes) == len(group.names)
-        and not group.cut
+        and not group.cut_links
         and len(leading) == 1
         and all(node.admitted for node in nodes)
         and all(
@@ -147,9 +151,7 @@
     )
 
 
-@behave.when(
-    'all of 3 replicas lose power right after a change, {count:d} times'
-)
+@behave.when('all 3 replicas lose power right after a change, {count:d} times')
 def step_power(context, count):
     context.lost = []
     for seed in range(count):
@@ -157,20 +159,20 @@
 
 
 async def power_off(context, seed):
-    """Take the power of all at the moment of an acknowledgement."""
+    """Cut the power of all replicas when a change is acknowledged."""
     group = simulation.Group(3, seed)
     for name in group.names:
         group.disks[name].forgets_syncs = context.forgets
         group.start(name)
-    await group.settle()
+    await group.converge()
     acknowledged = await group.propose('change')
     assert acknowledged
     for name in group.names:
         await group.lose_power(name)
     try:
-        await group.settle()
+        await group.converge()
     except (AssertionError, errors.StorageDamaged):
-        context.lost.append(seed)  # nothing is left to agree on
+        context.lost.append(seed)  # the group cannot recover
         return
     version, digest = acknowledged
     for node in group.nodes.values():
@@ -180,9 +182,9 @@
     await group.stop()
 
 
-@behave.given('disks whose syncs {what}')
-def step_syncs(context, what):
-    context.forgets = what == 'do nothing'
+@behave.given('disks whose syncs {effect}')
+def step_syncs(context, effect):
+    context.forgets = effect == 'do nothing'
 
 
 @behave.then('no acknowledged change is lost')
@@ -195,6 +197,6 @@
     assert context.lost
 
 
-@behave.then('in each all replicas end with everything that was acknowledged')
-def step_played(context):
+@behave.then('every replica ends each history with all acknowledged changes')
+def step_all_kept(context):
     assert len(context.played) > 10, len(context.played)
--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a control replica keeps on its disk."""
+"""Steps about the persistent storage of a control replica."""
 
 import pathlib
 
@@ -10,10 +10,10 @@
 
 
 def entry(index, term=1):
-    """Return an entry with a little content."""
-    made = pb.Entry(index=index, term=term)
-    made.bundle.CopyFrom(pb.AcceptBundle(version=index, digest='d' * 64))
-    return made
+    """Return a log entry that accepts a bundle."""
+    log_entry = pb.Entry(index=index, term=term)
+    log_entry.bundle.CopyFrom(pb.AcceptBundle(version=index, digest='d' * 64))
+    return log_entry
 
 
 @behave.given('a log of {count:d} entries')
@@ -29,12 +29,14 @@
 @behave.given('a snapshot at entry {index:d}')
 def step_snapshot(context, index):
     state = pb.State(index=index, term=1, version=index)
-    rest = [entry(later) for later in range(index + 1, 21)]
-    context.store.compact(state, rest, storage.Vote(1, 'r1'))
+    later_entries = [
+        entry(later_index) for later_index in range(index + 1, 21)
+    ]
+    context.store.compact(state, later_entries, storage.Vote(1, 'r1'))
 
 
-@behave.when('the last record loses its last {lost:d} bytes')
-def step_torn(context, lost):
+@behave.when('the last record is truncated by {lost:d} bytes')
+def step_truncate(context, lost):
     context.store.close()
     path = context.data / 'log'
     path.write_bytes(path.read_bytes()[:-lost])
@@ -47,32 +49,32 @@
     path.write_bytes(path.read_bytes() + bytes(count))
 
 
-@behave.when('the byte at {share:d} percent of the log is flipped')
-def step_flip(context, share):
+@behave.when('a bit is flipped at {percent:d} percent of the log')
+def step_flip_log(context, percent):
     context.store.close()
-    flip(context.data / 'log', share)
+    flip_bit(context.data / 'log', percent)
 
 
-@behave.when('a byte of the snapshot is flipped')
+@behave.when('a bit of the snapshot is flipped')
 def step_flip_snapshot(context):
     context.store.close()
-    flip(context.data / 'snapshot', 50)
+    flip_bit(context.data / 'snapshot', 50)
 
 
-def flip(path, share):
-    """Flip a bit of a file."""
+def flip_bit(path, percent):
+    """Flip a bit of the byte at a position given in percent."""
     data = bytearray(path.read_bytes())
-    data[min(len(data) - 1, len(data) * share // 100)] ^= 0x10
+    data[min(len(data) - 1, len(data) * percent // 100)] ^= 0x10
     path.write_bytes(data)
 
 
-@behave.when('entry {index:d} of a later term is added')
-def step_later(context, index):
+@behave.when('entry {index:d} of a later term is appended')
+def step_append_later(context, index):
     context.store.append([entry(index, term=2)])
     context.store.close()
 
 
-@behave.then('the log has {count:d} entries after it is loaded')
+@behave.then('{count:d} entries are loaded from the log')
 def step_loaded(context, count):
     context.store = storage.Storage(context.data)
     contents = context.store.load()
@@ -80,8 +82,8 @@
     assert contents.vote == storage.Vote(1, 'r1')
 
 
-@behave.then('entries can be added after that')
-def step_added(context):
+@behave.then('entries can be appended afterwards')
+def step_can_append(context):
     context.store.append([entry(20)])
     context.store.close()
     step_loaded(context, 20)
@@ -95,14 +97,14 @@
     except errors.HoneyportError as error:
         assert error.code == code
         return
-    raise AssertionError('it was loaded')
+    raise AssertionError('damaged data was loaded')
 
 
 @behave.then('opening the folder a second time fails with "{code}"')
-def step_second(context, code):
+def step_open_twice(context, code):
     try:
         storage.Storage(context.data)
     except errors.HoneyportError as error:
         assert error.code == code
         return
-    raise AssertionError('it was opened')
+    raise AssertionError('a folder in use was opened')
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the leader's side of routers' streams."""
+"""Steps about the router streams of a leader."""
 
 import asyncio
 
@@ -14,49 +14,47 @@
 
 
 class _CountedEntry:
-    """An entry of a log that counts how often its kind is asked for."""
+    """A log entry that counts how often its kind is read."""
 
     def __init__(self, index):
         self.index = index
         self.term = 1
         self.members = pb.Members() if index == 1 else None
-        self.looked_at = 0
+        self.kind_reads = 0
 
     def WhichOneof(self, group):
         """Return the kind of its command."""
-        self.looked_at += 1
+        self.kind_reads += 1
         return 'members' if self.members is not None else 'routers'
 
 
 class Streams:
-    """A leader and streams to it, without a network."""
+    """A leader with router streams, without a network."""
 
     def __init__(self, count):
         self.node = leading.LeaderStub()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
         self.streams._watch_leadership()
-        self.opened = []
+        self.sessions = []
         for number in range(count):
             self.attach(number)
 
     def attach(self, number):
-        """Open the stream of one more router."""
-        opened = self.streams._open(leading.hello(number))
-        self.opened.append(opened)
+        """Open the stream of another router."""
+        session = self.streams._open(leading.hello(number))
+        self.sessions.append(session)
 
     def tick(self):
-        """Let a tick pass; return what each stream was told, by kind."""
+        """Run a tick; return the kinds of the items sent on each stream."""
         self.streams._tick()
-        return [self._taken(one) for one in self.opened]
+        return [self._sent_kinds(session) for session in self.sessions]
 
-    def _taken(self, session):
+    def _sent_kinds(self, session):
         items = self.streams._take_items(session)
         return {item.WhichOneof('item') for item in items}
 
 
-@behave.given(
-    'a log of {count:d} entries, of which the first names the members'
-)
+@behave.given('a log of {count:d} entries with the members in the first')
 def step_log(context, count):
     context.entries = [_CountedEntry(index) for index in range(1, count + 1)]
     context.journal = journal.Journal()
@@ -64,20 +62,20 @@
         context.journal.append(entry)
 
 
-@behave.when('it is asked {count:d} times who the members are')
-def step_ask(context, count):
+@behave.when('the members are read {count:d} times')
+def step_read_members(context, count):
     for _ in range(count):
         assert context.journal.members() is context.entries[0].members
 
 
-@behave.then('no entry was looked at more than once')
-def step_looked(context):
-    assert max(entry.looked_at for entry in context.entries) <= 1
+@behave.then('no entry was examined more than once')
+def step_examined_once(context):
+    assert max(entry.kind_reads for entry in context.entries) <= 1
 
 
-@behave.then('a log that is added to, overwritten and cut knows its members')
-def step_any_log(context):
-    steps = strategies.lists(
+@behave.then('random appends, merges and truncations keep the members right')
+def step_random_operations(context):
+    operations = strategies.lists(
         strategies.tuples(
             strategies.sampled_from(['append', 'merge', 'cut']),
             strategies.integers(0, 12),
@@ -88,29 +86,31 @@
 
     @hypothesis.settings(max_examples=300, deadline=None, database=None)
     @hypothesis.seed(0)
-    @hypothesis.given(steps)
-    def check(taken):
+    @hypothesis.given(operations)
+    def check(sequence):
         log = journal.Journal()
-        for term, (kind, back, changes) in enumerate(taken, 1):
-            first = max(log.base_index, log.last_index - back) + 1
-            if kind == 'append':
-                log.append(_made(log.last_index + 1, term, changes[0]))
-            elif kind == 'merge':
+        for term, (operation, overlap, are_changes) in enumerate(sequence, 1):
+            first = max(log.base_index, log.last_index - overlap) + 1
+            if operation == 'append':
+                log.append(
+                    _make_entry(log.last_index + 1, term, are_changes[0])
+                )
+            elif operation == 'merge':
                 log.merge(
                     [
-                        _made(first + offset, term, change)
-                        for offset, change in enumerate(changes)
+                        _make_entry(first + offset, term, is_change)
+                        for offset, is_change in enumerate(are_changes)
                     ]
                 )
             else:
                 log.truncate_prefix(first - 1)
-            for upto in (None, *range(log.base_index, log.last_index + 1)):
-                assert log.members(upto) == _naive(log, upto)
+            for up_to in (None, *range(log.base_index, log.last_index + 1)):
+                assert log.members(up_to) == _scan_for_members(log, up_to)
 
     check()
 
 
-def _made(index, term, is_change):
+def _make_entry(index, term, is_change):
     entry = pb.Entry(index=index, term=term)
     if is_change:
         entry.members.replicas.add(name=f'{index} of {term}')
@@ -119,9 +119,9 @@
     return entry
 
 
-def _naive(log, upto):
-    """Return the latest change of members by looking at every entry."""
-    last = log.last_index if upto is None else upto
+def _scan_for_members(log, up_to):
+    """Return the latest members by scanning all entries."""
+    last = log.last_index if up_to is None else up_to
     for index in range(last, log.base_index, -1):
         entry = log.get(index)
         if entry.WhichOneof('command') == 'members':
@@ -129,7 +129,7 @@
     return None
 
 
-@behave.given('a leader with the streams of {count:d} routers')
+@behave.given('a leader with {count:d} router streams')
 def step_leader(context, count):
     async def start():
         context.streams = Streams(count)
@@ -141,38 +141,40 @@
 @behave.when('another router attaches')
 def step_attach(context):
     async def attach():
-        context.streams.attach(len(context.streams.opened))
+        context.streams.attach(len(context.streams.sessions))
 
     context.run(attach())
 
 
-@behave.when('a tick passes without news')
+@behave.when('a tick passes without changes')
 @behave.when('a tick passes')
 def step_tick(context):
     async def tick():
         await asyncio.sleep(0)
-        context.streams.node.asked = 0
-        context.told = context.streams.tick()
+        context.streams.node.address_reads = 0
+        context.sent_kinds = context.streams.tick()
 
     context.run(tick())
 
 
-@behave.then('it asked once who the members are')
-def step_once(context):
-    assert context.streams.node.asked == 1, context.streams.node.asked
+@behave.then('the member addresses were read once')
+def step_read_once(context):
+    assert context.streams.node.address_reads == 1, (
+        context.streams.node.address_reads
+    )
 
 
 @behave.then('nothing was sent')
 def step_nothing(context):
-    assert not any(context.told), context.told
+    assert not any(context.sent_kinds), context.sent_kinds
 
 
-@behave.then('each of the first {count:d} is told {kinds}')
-def step_first(context, count, kinds):
-    wanted = [set(kinds.split(', '))] * count
-    assert context.told[:count] == wanted, context.told
+@behave.then('each of the first {count:d} streams is sent {kinds}')
+def step_sent_to_first(context, count, kinds):
+    expected = [set(kinds.split(', '))] * count
+    assert context.sent_kinds[:count] == expected, context.sent_kinds
 
 
-@behave.then('the new one is told {kinds}')
-def step_new(context, kinds):
-    assert context.told[-1] == set(kinds.split(', ')), context.told
+@behave.then('the new stream is sent {kinds}')
+def step_sent_to_new(context, kinds):
+    assert context.sent_kinds[-1] == set(kinds.split(', ')), context.sent_kinds
--- a/features/support/leading.py
+++ b/features/support/leading.py
@@ -1,4 +1,4 @@
-"""A control replica that leads, as far as routers' streams see it."""
+"""A stub of a leading control replica, for tests of router streams."""
 
 from honeyport.control import journal
 from honeyport.control import machine
@@ -6,13 +6,13 @@
 from honeyport.control import replica
 from honeyport.wire import honeyport_pb2 as pb
 
-_REPLICAS = 5
+_REPLICA_COUNT = 5
 
 
 class LeaderStub:
-    """Leads from the first moment on, with a log of some length.
+    """Stub of a replica that is leader from the start.
 
-    :param entries: how many the log has; the members are in the first one
+    :param entries: length of the log; its first entry holds the members
     """
 
     role = replica.LEADER
@@ -21,33 +21,33 @@
 
     def __init__(self, entries: int = 1) -> None:
         self.machine = machine.Machine()
-        self.asked = 0
+        self.address_reads = 0
         self._journal = journal.Journal()
         for number in range(1, entries + 1):
             self._journal.append(_entry(number))
 
     @property
     def members(self) -> pb.Members:
-        """The members, as the log has them."""
-        found = self._journal.members()
-        assert found is not None
-        return found
+        """The latest members in the log."""
+        members = self._journal.members()
+        assert members is not None
+        return members
 
     @property
     def member_addresses(self) -> list[str]:
-        """Where the members listen; counts how often it is asked."""
-        self.asked += 1
+        """Listen addresses of the members; counts the reads."""
+        self.address_reads += 1
         return [member.address for member in self.members.replicas]
 
     @property
     def leads(self) -> bool:
-        """Whether a quorum was heard: all were."""
-        heard = {member.name: 1.0 for member in self.members.replicas}
-        return membership.quorum_value(self.members, heard) > 0
+        """Whether a quorum has answered; always true."""
+        contact_times = {member.name: 1.0 for member in self.members.replicas}
+        return membership.quorum_value(self.members, contact_times) > 0
 
 
 def hello(number: int) -> pb.Hello:
-    """Return how a router introduces itself."""
+    """Return the hello message of a router."""
     return pb.Hello(
         router=f'router-{number}',
         incarnation='0123456789ab',
@@ -62,10 +62,10 @@
     if number > 1:
         entry.routers.put[f'router-{number}'] = '10.2.0.1:7000'
         return entry
-    for one in range(_REPLICAS):
+    for replica_number in range(_REPLICA_COUNT):
         entry.members.replicas.add(
-            name=f'10.1.{one}.1:7000',
-            address=f'10.1.{one}.1:7000',
+            name=f'10.1.{replica_number}.1:7000',
+            address=f'10.1.{replica_number}.1:7000',
             voter=True,
             disk='d',
         )
--- a/features/support/simulation.py
+++ b/features/support/simulation.py
@@ -1,7 +1,7 @@
-"""Control replicas on a virtual clock and an in-memory link.
+"""Control replicas on a virtual clock, connected in memory.
 
-Nothing here waits: the clock jumps to the next timer. With one seed a run
-is the same every time.
+The clock jumps to the next timer instead of waiting, and runs with the same
+seed are identical.
 """
 
 import asyncio
@@ -21,21 +21,23 @@
 T = typing.TypeVar('T')
 
 _FOLDER = pathlib.Path('/data')
-_TIMEOUT_S = 0.3
-_DELAY_S = 0.02
+_CALL_TIMEOUT_S = 0.3
+_MAX_DELAY_S = 0.02
 _OPTIONS = replica.Options(
     election_s=0.3, heartbeat_s=0.06, snapshot_entries=12
 )
 
 
-class _Selector(selectors.SelectSelector):
-    """Lets time pass instead of waiting."""
+class _VirtualSelector(selectors.SelectSelector):
+    """Advances the virtual clock instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[typing.Any]:
         if timeout is None:
-            raise AssertionError('nothing is left that could happen')
+            raise AssertionError(
+                'no timer is pending: the loop would wait forever'
+            )
         self.now += max(timeout, 0.0)
         return []
 
@@ -44,15 +46,15 @@
     """An event loop whose clock is virtual."""
 
     def __init__(self) -> None:
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._virtual.now
+        return self._virtual_selector.now
 
 
 def run(coroutine: typing.Coroutine[typing.Any, typing.Any, T]) -> T:
-    """Return a coroutine's result, on a virtual clock of its own."""
+    """Run a coroutine on a new virtual clock; return its result."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(coroutine)
@@ -61,7 +63,12 @@
 
 
 class Group:
-    """A few replicas, their disks, and the links between them."""
+    """Replicas, their disks and links, and the invariants checked on them.
+
+    :ivar cut_links: pairs of source and target that cannot communicate
+    :ivar leaders_by_term: names of the replicas that were leader
+    :ivar digest_by_version: digests of the accepted bundle versions
+    """
 
     def __init__(self, count: int, seed: int) -> None:
         self.random = random.Random(seed)
@@ -69,19 +76,19 @@
         self.disks = {name: power.Disk(self.random) for name in self.names}
         self.nodes: dict[str, replica.Replica] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.cut: set[tuple[str, str]] = set()
-        self.leaders: dict[int, set[str]] = {}
-        self.accepted: dict[int, str] = {}
-        self.founders = {name: name for name in self.names}
+        self.cut_links: set[tuple[str, str]] = set()
+        self.leaders_by_term: dict[int, set[str]] = {}
+        self.digest_by_version: dict[int, str] = {}
+        self.initial_members = {name: name for name in self.names}
 
     def start(self, name: str) -> None:
-        """Start a replica from its disk."""
+        """Start a replica with the contents of its disk."""
         node = replica.Replica(
             name,
             storage.Storage(_FOLDER, self.disks[name]),
             _persist,
-            self.founders,
-            lambda other, address: _Link(self, name, other),
+            self.initial_members,
+            lambda peer, address: _Link(self, name, peer),
             _OPTIONS,
             self.random.getrandbits(32),
         )
@@ -89,7 +96,7 @@
         self.tasks[name] = asyncio.create_task(node.run())
 
     async def kill(self, name: str) -> None:
-        """Stop a replica where it stands."""
+        """Stop a replica without a shutdown."""
         task = self.tasks.pop(name, None)
         self.nodes.pop(name, None)
         if task is not None:
@@ -97,57 +104,67 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def lose_disk(self, name: str) -> None:
-        """Kill a replica and forget its disk."""
+        """Kill a replica and replace its disk by an empty one."""
         await self.kill(name)
         self.disks[name] = power.Disk(self.random)
 
     async def lose_power(self, name: str) -> None:
-        """Kill a replica; its disk keeps what was synced."""
+        """Kill a replica; its disk may lose unsynced data."""
         await self.kill(name)
         self.disks[name].lose_power()
 
-    async def found(self) -> None:
-        """Start all replicas, until each has noted that it founded."""
+    async def bootstrap(self) -> None:
+        """Start all replicas and wait until each recorded the bootstrap."""
         for name in self.names:
             self.start(name)
-        while not all(self._has_founded(name) for name in self.names):
+        while not all(self._is_bootstrapped(name) for name in self.names):
             await asyncio.sleep(0.001)
 
-    def _has_founded(self, name: str) -> bool:
-        found = self.disks[name].read(_FOLDER / 'identity') or b''
-        return b'"founded": true' in found
+    def _is_bootstrapped(self, name: str) -> bool:
+        identity = self.disks[name].read(_FOLDER / 'identity') or b''
+        return b'"founded": true' in identity
 
     def isolate(self, name: str) -> None:
-        """Cut all links of a replica, both ways."""
-        for other in self.names:
-            self.cut |= {(name, other), (other, name)}
+        """Cut all links of a replica in both directions."""
+        for peer in self.names:
+            self.cut_links |= {(name, peer), (peer, name)}
 
     def heal(self) -> None:
-        """Mend all links."""
-        self.cut.clear()
+        """Restore all links."""
+        self.cut_links.clear()
 
-    def observe(self) -> None:
-        """Check what must hold at any time."""
+    def check_invariants(self) -> None:
+        """Check the invariants: one leader a term, one digest a version."""
         for name, node in self.nodes.items():
             if node.role == replica.LEADER:
-                self.leaders.setdefault(node.term, set()).add(name)
+                self.leaders_by_term.setdefault(node.term, set()).add(name)
             for version, digest in node.machine.history.items():
-                known = self.accepted.setdefault(version, digest)
-                assert known == digest, (name, version, known, digest)
-        for term, names in self.leaders.items():
+                digest_before = self.digest_by_version.setdefault(
+                    version, digest
+                )
+                assert digest_before == digest, (
+                    name,
+                    version,
+                    digest_before,
+                    digest,
+                )
+        for term, names in self.leaders_by_term.items():
             assert len(names) == 1, (term, names)
-        leading = [n for n in self.nodes.values() if n.leads]
-        assert len(leading) <= 1, [n.name for n in leading]
+        leading = [leader for leader in self.nodes.values() if leader.leads]
+        assert len(leading) <= 1, [leader.name for leader in leading]
+
+    async def propose(self, label: str) -> tuple[int, str] | None:
+        """Propose the next bundle version to the replicas that are leader.
 
-    async def propose(self, text: str) -> tuple[int, str] | None:
-        """Propose the next version at whoever believes to lead."""
+        :returns: version and digest, or ``None`` if not acknowledged
+        """
         for node in list(self.nodes.values()):
             if node.role != replica.LEADER:
                 continue
             version = node.machine.accepted.version + 1
-            digest = f'{text}-{version}-{node.name}'
+            digest = f'{label}-{version}-{node.name}'
             command = pb.AcceptBundle(version=version, digest=digest)
-            command.put[f'accounts/{text}'] = digest
+            command.put[f'accounts/{label}'] = digest
             try:
                 async with asyncio.timeout(1.0):
                     if await node.propose(command):
@@ -156,18 +173,22 @@
                 pass
         return None
 
-    async def place(self, name: str) -> str:
-        """Propose a place; return its name if that was acknowledged."""
+    async def propose_place(self, name: str) -> str:
+        """Propose a place; return its name if acknowledged, else ``''``."""
         change = places.Change({name: places.Holding('llm', name)}, ())
-        return name if await self._commit(machine.place_change(change)) else ''
+        return (
+            name
+            if await self._propose_command(machine.place_change(change))
+            else ''
+        )
 
-    async def register(self, name: str) -> str:
-        """Propose a router; return its name if that was acknowledged."""
+    async def propose_router(self, name: str) -> str:
+        """Propose a router; return its name if acknowledged, else ``''``."""
         change = pb.RouterChange(put={name: name})
-        return name if await self._commit(change) else ''
+        return name if await self._propose_command(change) else ''
 
-    async def _commit(self, command: typing.Any) -> bool:
-        """Propose a command at whoever believes to lead."""
+    async def _propose_command(self, command: typing.Any) -> bool:
+        """Propose a command; return whether it was acknowledged."""
         for node in list(self.nodes.values()):
             if node.role != replica.LEADER:
                 continue
@@ -180,15 +201,18 @@
         return False
 
     async def run_for(self, seconds: float) -> None:
-        """Let time pass, observing all the while."""
+        """Advance the clock while checking the invariants."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while loop.time() < until:
+        ends_at = loop.time() + seconds
+        while loop.time() < ends_at:
             await asyncio.sleep(0.02)
-            self.observe()
+            self.check_invariants()
+
+    async def converge(self) -> None:
+        """Restore links and disks, start all, and wait for convergence.
 
-    async def settle(self) -> None:
-        """Mend and start everything; wait until all agree."""
+        :raises AssertionError: if the replicas have not converged in 30 s
+        """
         self.heal()
         for disk in self.disks.values():
             disk.full = False
@@ -199,11 +223,16 @@
             await self.run_for(0.5)
             nodes = list(self.nodes.values())
             commits = {node.commit for node in nodes}
-            same = len(commits) == 1 and any(node.leads for node in nodes)
-            if same and all(node.admitted for node in nodes):
+            is_consistent = len(commits) == 1 and any(
+                node.leads for node in nodes
+            )
+            if is_consistent and all(node.admitted for node in nodes):
                 return
         raise AssertionError(
-            [(n.name, n.role, n.term, n.commit, n.admitted) for n in nodes]
+            [
+                (peer.name, peer.role, peer.term, peer.commit, peer.admitted)
+                for peer in nodes
+            ]
         )
 
     async def stop(self) -> None:
@@ -214,7 +243,7 @@
 
 
 class _Link:
-    """A way from one replica to another, with delays and losses."""
+    """Simulated link between replicas, with delays and losses."""
 
     def __init__(self, group: Group, source: str, target: str) -> None:
         self._group = group
@@ -237,7 +266,7 @@
         copies = [
             type(arg).FromString(arg.SerializeToString()) for arg in args
         ]
-        await self._way(self._source, self._target)
+        await self._transmit(self._source, self._target)
         node = self._group.nodes.get(self._target)
         if node is None:
             raise ConnectionError(self._target)
@@ -245,13 +274,13 @@
             answer = await getattr(node, method)(*copies)
         except errors.StorageFailed as error:
             raise ConnectionError(error.detail) from None
-        await self._way(self._target, self._source)
+        await self._transmit(self._target, self._source)
         return answer
 
-    async def _way(self, source: str, target: str) -> None:
-        await asyncio.sleep(self._group.random.uniform(0, _DELAY_S))
-        if (source, target) in self._group.cut:
-            await asyncio.sleep(_TIMEOUT_S)
+    async def _transmit(self, source: str, target: str) -> None:
+        await asyncio.sleep(self._group.random.uniform(0, _MAX_DELAY_S))
+        if (source, target) in self._group.cut_links:
+            await asyncio.sleep(_CALL_TIMEOUT_S)
             raise ConnectionError(target)
 
 
