--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -65,7 +65,7 @@
         self._instances: list[pb.Instance] = []
         self._latest: list[pb.Instance] = []
         self._list_number = 0
-        self._cold_periods = cold.Spells()
+        self._cold_periods = cold.ColdPeriods()
         self._counter = 0
         self._is_readable = True
 
@@ -95,7 +95,7 @@
                 self._instances = []
                 self._latest = []
                 self._list_number = 0
-                self._cold_periods = cold.Spells()
+                self._cold_periods = cold.ColdPeriods()
                 self._assigner = None
                 await asyncio.sleep(0.1)
 
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -17,7 +17,7 @@
 
     def __init__(self, name: str) -> None:
         self._limits: Limits = {}
-        self._cold_periods = cold.Spells()
+        self._cold_periods = cold.ColdPeriods()
         self._shares = cold.Shares(name)
 
     def set_limits(self, limits: Limits) -> None:
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -71,7 +71,7 @@
     return Tolerance(cold_s=cold_s, most=rate * multiple + extra)
 
 
-class Spells:
+class ColdPeriods:
     """Until when instances are cold: points in time, by instance."""
 
     def __init__(self) -> None:
