--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -18,7 +18,7 @@
     def __init__(self, name: str) -> None:
         self._limits: Limits = {}
         self._cold_periods = cold.ColdPeriods()
-        self._shares = cold.Shares(name)
+        self._shares = cold.SendQuotas(name)
 
     def set_limits(self, limits: Limits) -> None:
         """Set the limits of cold instances, by service."""
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -105,7 +105,7 @@
                 del self._until[instance]
 
 
-class Shares:
+class SendQuotas:
     """This gateway's part of what cold instances get.
 
     :param name: of this gateway, as the others know it
