--- a/features/steps/platform_format_steps.py
+++ b/features/steps/platform_format_steps.py
@@ -134,7 +134,7 @@
         multiple=context.found.cold_multiple,
         extra=context.found.cold_extra,
     )
-    assert abs(found.most - most) < 1e-9, found
+    assert abs(found.max_requests - most) < 1e-9, found
 
 
 @behave.then('they are refused with "{message}"')
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -51,7 +51,7 @@
         :param now: loop time
         :param is_last: whether only cold instances are left
         """
-        max_requests = self._limit(instance).most
+        max_requests = self._limit(instance).max_requests
         return self._shares.may_take(
             instance.id, max_requests, now, is_last=is_last
         )
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -53,7 +53,7 @@
     """
 
     cold_s: float = 0.0
-    most: float = math.inf
+    max_requests: float = math.inf
 
 
 def tolerance(
@@ -68,7 +68,7 @@
     """
     if cold_s <= 0:
         return Tolerance()
-    return Tolerance(cold_s=cold_s, most=rate * multiple + extra)
+    return Tolerance(cold_s=cold_s, max_requests=rate * multiple + extra)
 
 
 class ColdPeriods:
