--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -179,7 +179,7 @@
         for instance in instances:
             left_s = instance.cold_ms / 1000
             instance.ClearField('cold_ms')
-            if left_s and self._cold_periods.note(
+            if left_s and self._cold_periods.extend(
                 instance.id, now + left_s, _COLD_END_TOLERANCE_S
             ):
                 has_new_cold_period = True
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -77,7 +77,7 @@
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def note(self, instance: str, until: float, same_s: float = 0.0) -> bool:
+    def extend(self, instance: str, until: float, same_s: float = 0.0) -> bool:
         """Take it that an instance is cold; return whether that is news.
 
         What was heard before is never shortened: it may come from who knew
