--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -90,7 +90,7 @@
         self._until[instance] = until
         return True
 
-    def left_s(self, instance: str, now: float) -> float:
+    def remaining_s(self, instance: str, now: float) -> float:
         """Return for how much longer an instance is cold, in seconds."""
         return max(0.0, self._until.get(instance, now) - now)
 
