--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -183,7 +183,7 @@
                 instance.id, now + left_s, _COLD_END_TOLERANCE_S
             ):
                 has_new_cold_period = True
-        self._cold_periods.forget_over(now - _COLD_END_TOLERANCE_S)
+        self._cold_periods.drop_expired(now - _COLD_END_TOLERANCE_S)
         return has_new_cold_period
 
     def _with_cold_period(self, instance: pb.Instance) -> pb.Instance:
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -64,7 +64,7 @@
 
     def drop_expired(self) -> None:
         """Drop the cold periods that are over."""
-        self._cold_periods.forget_over(_now())
+        self._cold_periods.drop_expired(_now())
 
     def retain(self, listed_ids: set[str]) -> None:
         """Drop the counts of instances that are no longer listed."""
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -98,7 +98,7 @@
         """Whether an instance is cold."""
         return self._until.get(instance, now) > now
 
-    def forget_over(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget what is over."""
         for instance, until in list(self._until.items()):
             if until <= now:
