--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -26,7 +26,7 @@
 
     def set_gateways(self, gateways: collections.abc.Collection[str]) -> None:
         """Set the gateways that share the limits, by name."""
-        self._shares.regard(gateways, _now())
+        self._shares.set_gateways(gateways, _now())
 
     def mark_cold(self, instance: str, cold_s: float) -> None:
         """Treat an instance as cold from now on.
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -119,7 +119,7 @@
         self._ranked: dict[str, list[str]] = {}
         self._sent: dict[str, collections.deque[float]] = {}
 
-    def regard(self, members: Names, now: float) -> None:
+    def set_gateways(self, members: Names, now: float) -> None:
         """Take the names of the gateways that callers are sent to."""
         if members == self._members and not self._has_forgotten(now):
             return
