--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -52,7 +52,7 @@
         :param is_last: whether only cold instances are left
         """
         max_requests = self._limit(instance).max_requests
-        return self._shares.may_take(
+        return self._shares.may_send(
             instance.id, max_requests, now, is_last=is_last
         )
 
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -131,7 +131,7 @@
         self._known = {*members, *self._gone}
         self._ranked.clear()
 
-    def may_take(
+    def may_send(
         self, instance: str, most: float, now: float, *, is_last: bool
     ) -> bool:
         """Whether this gateway may send one more request to an instance.
