--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -60,7 +60,7 @@
         """Count a request against the share if its instance is cold."""
         now = _now()
         if self.is_cold(instance, now):
-            self._shares.note_sent(instance.id, now)
+            self._shares.record_sent(instance.id, now)
 
     def drop_expired(self) -> None:
         """Drop the cold periods that are over."""
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -150,7 +150,7 @@
             own += 1
         return self._recent(instance, now) < own
 
-    def note_sent(self, instance: str, now: float) -> None:
+    def record_sent(self, instance: str, now: float) -> None:
         """Count a request that is sent to a cold instance."""
         self._sent.setdefault(instance, collections.deque()).append(now)
 
