--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -68,7 +68,7 @@
 
     def retain(self, listed_ids: set[str]) -> None:
         """Drop the counts of instances that are no longer listed."""
-        self._shares.forget_others(listed_ids)
+        self._shares.retain(listed_ids)
 
     def _limit(self, instance: placement.Instance) -> cold.Tolerance:
         return self._limits.get(instance.service, cold.Tolerance())
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -154,7 +154,7 @@
         """Count a request that is sent to a cold instance."""
         self._sent.setdefault(instance, collections.deque()).append(now)
 
-    def forget_others(self, present: collections.abc.Container[str]) -> None:
+    def retain(self, present: collections.abc.Container[str]) -> None:
         """Forget the instances that are gone."""
         for kept in (self._sent, self._ranked):
             for instance in [one for one in kept if one not in present]:
