--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -34,7 +34,7 @@
 
 @behave.then('it asks for {seconds:g} s')
 def step_asks(context, seconds):
-    rest = rests.Rests().ask(_NAME, context.asked_s, 0.0)
+    rest = rests.Backoffs().ask(_NAME, context.asked_s, 0.0)
     assert rest.granted_s == seconds, rest
 
 
@@ -46,7 +46,7 @@
 
 @behave.given('an instance that asked for {seconds:d} s of rest')
 def step_asked(context, seconds):
-    context.rests = rests.Rests()
+    context.rests = rests.Backoffs()
     context.now = 0.0
     context.rests.ask(_NAME, float(seconds), context.now)
 
@@ -100,7 +100,7 @@
 )
 def step_gateways(context, count, seconds):
     context.asked_s = float(seconds)
-    all_rests = [rests.Rests() for _ in range(count)]
+    all_rests = [rests.Backoffs() for _ in range(count)]
     for one in all_rests:
         one.ask(_NAME, context.asked_s, 0.0)
     context.ends = sorted(one.left_s(_NAME, 0.0) for one in all_rests)
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -54,7 +54,7 @@
         self._names = names
         self._on_leave = on_leave
         self._metrics = counters
-        self._rests = rests.Rests()
+        self._rests = rests.Backoffs()
         self._leaving_since: dict[str, float] = {}
         counters.gauge('instances_resting', lambda: len(self.resting))
 
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -44,7 +44,7 @@
     running: int = _FIRST_RUNNING
 
 
-class Rests:
+class Backoffs:
     """The rests that are not over yet, or from which instances come back.
 
     A rest ends with its time and with nothing else: an answer of a request
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -63,7 +63,7 @@
         )
         self._news = asyncio.Event()
         self._lapsed = False
-        self._rests = rests.Rests()
+        self._rests = rests.Backoffs()
         self._transfers = prefix_transfer.Transfers(state, counters)
         self._parting: set[asyncio.Task[None]] = set()
         counters.gauge('steward_slots', lambda: len(self._owned()))
