--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Rest:
+class Backoff:
     """A rest that an instance asked for.
 
     :ivar asked_s: how long it is to last, in seconds, as the instance says
@@ -59,7 +59,7 @@
         """Whether any instance rests, or comes back from a rest."""
         return bool(self._records)
 
-    def ask(self, instance: str, asked_s: float, now: float) -> Rest:
+    def ask(self, instance: str, asked_s: float, now: float) -> Backoff:
         """Note that an instance asks for rest."""
         granted_s = min(asked_s, LONGEST_S)
         spread_s = min(granted_s * _SPREAD_SHARE, _SPREAD_S)
@@ -70,7 +70,7 @@
             self._records[instance] = _Record(now, until)
         else:
             record.until = max(record.until, until)
-        return Rest(asked_s, granted_s, is_new)
+        return Backoff(asked_s, granted_s, is_new)
 
     def answered(self, instance: str, now: float) -> None:
         """Note that an instance took a request and answered it."""
