--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -6,7 +6,7 @@
 
 # The longest rest that is granted, in seconds: a broken instance that asks
 # for days is tried again after it.
-LONGEST_S = 60.0
+MAX_BACKOFF_S = 60.0
 # How much later than it may, at most, a gateway comes back: as a share of the
 # rest, and in seconds. Many gateways got the same rest at one moment.
 _SPREAD_SHARE = 0.2
@@ -61,7 +61,7 @@
 
     def ask(self, instance: str, asked_s: float, now: float) -> Backoff:
         """Note that an instance asks for rest."""
-        granted_s = min(asked_s, LONGEST_S)
+        granted_s = min(asked_s, MAX_BACKOFF_S)
         spread_s = min(granted_s * _SPREAD_SHARE, _SPREAD_S)
         until = now + granted_s + random.uniform(0.0, spread_s)
         record = self._records.get(instance)
