--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -213,7 +213,7 @@
                 backend=instance.id,
                 address=instance.address,
                 status=status,
-                asked_s=rest.asked_s,
+                asked_s=rest.requested_s,
                 rest_s=rest.granted_s,
             )
 
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -27,7 +27,7 @@
     :ivar is_new: whether the instance did not rest already
     """
 
-    asked_s: float
+    requested_s: float
     granted_s: float
     is_new: bool
 
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -426,7 +426,7 @@
                 events.REST_ASKED,
                 backend=slot.name,
                 address=slot.address,
-                asked_s=rest.asked_s,
+                asked_s=rest.requested_s,
                 rest_s=rest.granted_s,
             )
         left_s = self._rests.left_s(slot.name, loop.time())
