--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -34,7 +34,7 @@
 
 @behave.then('it asks for {seconds:g} s')
 def step_asks(context, seconds):
-    rest = rests.Backoffs().ask(_NAME, context.asked_s, 0.0)
+    rest = rests.Backoffs().request(_NAME, context.asked_s, 0.0)
     assert rest.granted_s == seconds, rest
 
 
@@ -48,7 +48,7 @@
 def step_asked(context, seconds):
     context.rests = rests.Backoffs()
     context.now = 0.0
-    context.rests.ask(_NAME, float(seconds), context.now)
+    context.rests.request(_NAME, float(seconds), context.now)
 
 
 @behave.when('1 s later it answers a request that was sent before')
@@ -58,7 +58,7 @@
 
 @behave.when('1 s later it asks for {seconds:d} s of rest')
 def step_asks_again(context, seconds):
-    rest = context.rests.ask(_NAME, float(seconds), 1.0)
+    rest = context.rests.request(_NAME, float(seconds), 1.0)
     assert not rest.is_new
 
 
@@ -102,7 +102,7 @@
     context.asked_s = float(seconds)
     all_rests = [rests.Backoffs() for _ in range(count)]
     for one in all_rests:
-        one.ask(_NAME, context.asked_s, 0.0)
+        one.request(_NAME, context.asked_s, 0.0)
     context.ends = sorted(one.left_s(_NAME, 0.0) for one in all_rests)
 
 
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -205,7 +205,7 @@
     def _start_rest(
         self, instance: placement.Instance, status: int, asked_s: float
     ) -> None:
-        rest = self._rests.ask(instance.id, asked_s, _now())
+        rest = self._rests.request(instance.id, asked_s, _now())
         self._metrics.count('rests_asked')
         if rest.is_new:
             logs.emit(
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -59,7 +59,7 @@
         """Whether any instance rests, or comes back from a rest."""
         return bool(self._records)
 
-    def ask(self, instance: str, asked_s: float, now: float) -> Backoff:
+    def request(self, instance: str, asked_s: float, now: float) -> Backoff:
         """Note that an instance asks for rest."""
         granted_s = min(asked_s, MAX_BACKOFF_S)
         spread_s = min(granted_s * _SPREAD_SHARE, _SPREAD_S)
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -420,7 +420,7 @@
     def _rest(self, slot: backend_state.Slot, asked_s: float) -> None:
         """Send a backend server nothing for as long as it asks."""
         loop = asyncio.get_running_loop()
-        rest = self._rests.ask(slot.name, asked_s, loop.time())
+        rest = self._rests.request(slot.name, asked_s, loop.time())
         if rest.is_new:
             logs.emit(
                 events.REST_ASKED,
