--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -53,7 +53,7 @@
 
 @behave.when('1 s later it answers a request that was sent before')
 def step_late_answer(context):
-    context.rests.answered(_NAME, 1.0)
+    context.rests.record_answer(_NAME, 1.0)
 
 
 @behave.when('1 s later it asks for {seconds:d} s of rest')
@@ -134,13 +134,13 @@
 
 @behave.when('it answers')
 def step_answers(context):
-    context.rests.answered(_NAME, context.now)
+    context.rests.record_answer(_NAME, context.now)
 
 
 @behave.when('it answers {count:d} times')
 def step_answers_often(context, count):
     for _ in range(count):
-        context.rests.answered(_NAME, context.now)
+        context.rests.record_answer(_NAME, context.now)
 
 
 @behave.then('any number of requests may run there')
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -88,7 +88,7 @@
     def record_success(self, instance: str) -> None:
         """Record that an instance answered a request."""
         if self._rests:
-            self._rests.answered(instance, _now())
+            self._rests.record_answer(instance, _now())
 
     def not_resting(self, instances: Instances) -> Instances:
         """Return the instances that do not rest."""
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -72,7 +72,7 @@
             record.until = max(record.until, until)
         return Backoff(asked_s, granted_s, is_new)
 
-    def answered(self, instance: str, now: float) -> None:
+    def record_answer(self, instance: str, now: float) -> None:
         """Note that an instance took a request and answered it."""
         record = self._records.get(instance)
         if record is None or record.until > now:
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -388,7 +388,7 @@
         if slot.down:
             logs.emit(events.BACKEND_UP, backend=slot.name)
         slot.failures = 0
-        self._rests.answered(slot.name, asyncio.get_running_loop().time())
+        self._rests.record_answer(slot.name, asyncio.get_running_loop().time())
         slot.limit = min(slot.backend.slots, slot.limit + 1 / slot.limit)
 
     def _failed(
