--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -84,14 +84,14 @@
 def step_until(context, ends, more):
     until = context.rests.left_s(_NAME, 1.0) + 1.0
     assert ends <= until <= ends + more, until
-    assert not context.rests.is_back(_NAME, 0, until - _STEP_S)
-    assert context.rests.is_back(_NAME, 0, until + _STEP_S)
+    assert not context.rests.may_send(_NAME, 0, until - _STEP_S)
+    assert context.rests.may_send(_NAME, 0, until + _STEP_S)
 
 
 @behave.then('nothing is known of it')
 def step_forgotten(context):
     assert context.rests.left_s(_NAME, 1.0) == 0.0
-    assert context.rests.is_back(_NAME, _MANY, 1.0)
+    assert context.rests.may_send(_NAME, _MANY, 1.0)
 
 
 @behave.given(
@@ -128,8 +128,8 @@
 @behave.then('{count:d} request may run there at once')
 @behave.then('{count:d} requests may run there at once')
 def step_running(context, count):
-    assert context.rests.is_back(_NAME, count - 1, context.now)
-    assert not context.rests.is_back(_NAME, count, context.now)
+    assert context.rests.may_send(_NAME, count - 1, context.now)
+    assert not context.rests.may_send(_NAME, count, context.now)
 
 
 @behave.when('it answers')
@@ -145,4 +145,4 @@
 
 @behave.then('any number of requests may run there')
 def step_any(context):
-    assert context.rests.is_back(_NAME, _MANY, context.now)
+    assert context.rests.may_send(_NAME, _MANY, context.now)
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -114,7 +114,7 @@
         return [
             instance
             for instance in instances
-            if self._rests.is_back(
+            if self._rests.may_send(
                 instance.id, running.get(instance.id, 0), now
             )
         ]
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -81,7 +81,7 @@
         if record.running > _FULL_RUNNING:
             del self._records[instance]
 
-    def is_back(self, instance: str, running: int, now: float) -> bool:
+    def may_send(self, instance: str, running: int, now: float) -> bool:
         """Whether an instance may get one more request, others being there.
 
         :param running: the requests of this gateway that run there
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -336,7 +336,7 @@
         if not slot.ready or self._state.lease_left <= 0:
             return False
         now = asyncio.get_running_loop().time()
-        if not self._rests.is_back(slot.name, slot.running, now):
+        if not self._rests.may_send(slot.name, slot.running, now):
             return False
         foreign = max(slot.foreign, self._state.residual(slot.name))
         return slot.running + foreign < self._limit(slot)
