--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -82,7 +82,7 @@
     'most'
 )
 def step_until(context, ends, more):
-    until = context.rests.left_s(_NAME, 1.0) + 1.0
+    until = context.rests.remaining_s(_NAME, 1.0) + 1.0
     assert ends <= until <= ends + more, until
     assert not context.rests.may_send(_NAME, 0, until - _STEP_S)
     assert context.rests.may_send(_NAME, 0, until + _STEP_S)
@@ -90,7 +90,7 @@
 
 @behave.then('nothing is known of it')
 def step_forgotten(context):
-    assert context.rests.left_s(_NAME, 1.0) == 0.0
+    assert context.rests.remaining_s(_NAME, 1.0) == 0.0
     assert context.rests.may_send(_NAME, _MANY, 1.0)
 
 
@@ -103,7 +103,7 @@
     all_rests = [rests.Backoffs() for _ in range(count)]
     for one in all_rests:
         one.request(_NAME, context.asked_s, 0.0)
-    context.ends = sorted(one.left_s(_NAME, 0.0) for one in all_rests)
+    context.ends = sorted(one.remaining_s(_NAME, 0.0) for one in all_rests)
 
 
 @behave.then('none of them comes back before that')
@@ -122,7 +122,7 @@
 
 @behave.when('its rest is over')
 def step_over(context):
-    context.now = context.rests.left_s(_NAME, context.now) + _STEP_S
+    context.now = context.rests.remaining_s(_NAME, context.now) + _STEP_S
 
 
 @behave.then('{count:d} request may run there at once')
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -83,7 +83,7 @@
 
     def rest_remaining_s(self, instance: str) -> float:
         """Return the remaining rest of an instance, in seconds."""
-        return self._rests.left_s(instance, _now())
+        return self._rests.remaining_s(instance, _now())
 
     def record_success(self, instance: str) -> None:
         """Record that an instance answered a request."""
@@ -98,7 +98,7 @@
         return [
             instance
             for instance in instances
-            if not self._rests.left_s(instance.id, now)
+            if not self._rests.remaining_s(instance.id, now)
         ]
 
     def within_ramp_up(
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -91,7 +91,7 @@
             return True
         return record.until <= now and running < record.running
 
-    def left_s(self, instance: str, now: float) -> float:
+    def remaining_s(self, instance: str, now: float) -> float:
         """Return how much longer an instance rests; 0 if it does not."""
         record = self._records.get(instance)
         return 0.0 if record is None else max(0.0, record.until - now)
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -310,7 +310,7 @@
         ahead = slot.queue.ahead(call.account)
         wait_s = (ahead + 1) * slot.service_s / max(1, self._limit(slot))
         now = asyncio.get_running_loop().time()
-        wait_s += self._rests.left_s(slot.name, now)
+        wait_s += self._rests.remaining_s(slot.name, now)
         full = len(slot.queue) >= self._state.bundle.limits.queue
         most_s = min(call.left(), call.patience_s)
         if call.patience_s < call.left() and (full or wait_s > most_s):
@@ -429,7 +429,7 @@
                 asked_s=rest.requested_s,
                 rest_s=rest.granted_s,
             )
-        left_s = self._rests.left_s(slot.name, loop.time())
+        left_s = self._rests.remaining_s(slot.name, loop.time())
         loop.call_later(left_s, self._admit_waiting, slot)
 
     async def _knock(self, slot: backend_state.Slot) -> None:
