--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -179,7 +179,7 @@
         self, instance: placement.Instance, sent_at: float
     ) -> None:
         """Log and count a request that was sent to a resting instance."""
-        rested_s = self._rests.passed_s(instance.id, sent_at)
+        rested_s = self._rests.elapsed_s(instance.id, sent_at)
         if rested_s is None:
             return
         self._metrics.count('resting_used')
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -96,7 +96,7 @@
         record = self._records.get(instance)
         return 0.0 if record is None else max(0.0, record.until - now)
 
-    def passed_s(self, instance: str, at: float) -> float | None:
+    def elapsed_s(self, instance: str, at: float) -> float | None:
         """Return for how long an instance had rested at a moment.
 
         :returns: seconds, or ``None`` if it did not rest then
