--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -61,7 +61,7 @@
     @property
     def resting(self) -> list[str]:
         """Ids of the instances that currently rest."""
-        return self._rests.resting(_now()) if self._rests else []
+        return self._rests.active(_now()) if self._rests else []
 
     def observe(
         self, instance: placement.Instance, head: attempt.Head, sent_at: float
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -106,7 +106,7 @@
             return None
         return at - record.began
 
-    def resting(self, now: float) -> list[str]:
+    def active(self, now: float) -> list[str]:
         """Return the instances that rest."""
         return [name for name, one in self._records.items() if one.until > now]
 
