--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -69,12 +69,12 @@
 
 @behave.when('1 s later a new list of instances names it')
 def step_listed(context):
-    context.rests.forget_others({_NAME, 'i-2'})
+    context.rests.retain({_NAME, 'i-2'})
 
 
 @behave.when('1 s later a new list of instances does not name it')
 def step_unlisted(context):
-    context.rests.forget_others({'i-2'})
+    context.rests.retain({'i-2'})
 
 
 @behave.then(
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -171,7 +171,7 @@
 
     def retain(self, listed_ids: set[str]) -> None:
         """Drop the state of instances that are no longer listed."""
-        self._rests.forget_others(listed_ids)
+        self._rests.retain(listed_ids)
         for instance_id in self._leaving_since.keys() - listed_ids:
             del self._leaving_since[instance_id]
 
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -110,7 +110,7 @@
         """Return the instances that rest."""
         return [name for name, one in self._records.items() if one.until > now]
 
-    def forget_others(self, present: set[str]) -> None:
+    def retain(self, present: set[str]) -> None:
         """Forget the instances that are gone."""
         for name in self._records.keys() - present:
             del self._records[name]
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -276,7 +276,7 @@
     def _drop(self, slot: backend_state.Slot) -> None:
         if self._slots.get(slot.name) is slot:
             del self._slots[slot.name]
-            self._rests.forget_others(set(self._slots))
+            self._rests.retain(set(self._slots))
         if not slot.running:
             slot.client.close()
 
