--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -298,7 +298,7 @@
         self, instance: placement.Instance, parts: prefixes.Parts
     ) -> None:
         """Record that an instance answered a prompt with these parts."""
-        self._health.succeeded(instance.id)
+        self._health.record_success(instance.id)
         self._signals.record_success(instance.id)
         for part in prefixes.shared_parts(parts):
             self._prefix_holders.add(part.id, instance.id)
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
-    def succeeded(self, instance: str) -> None:
+    def record_success(self, instance: str) -> None:
         """Note that an instance answered."""
         self._records.pop(instance, None)
 
