--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -319,7 +319,7 @@
         :param was_reached: whether a connection to it was established
         """
         self._prefix_holders.forget_instance(instance.id)
-        pause = self._health.failed(
+        pause = self._health.record_failure(
             instance.id, _now(), was_reached=was_reached
         )
         logs.emit(
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -48,7 +48,7 @@
         """Note that an instance answered."""
         self._records.pop(instance, None)
 
-    def failed(
+    def record_failure(
         self, instance: str, now: float, *, was_reached: bool = True
     ) -> Pause:
         """Note that an instance could not be used.
