--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -63,7 +63,7 @@
         record.avoided_until = now + pause_s
         return Pause(record.failures, pause_s)
 
-    def is_sound(self, instance: str) -> bool:
+    def is_healthy(self, instance: str) -> bool:
         """Whether an instance has not failed since it last answered."""
         return instance not in self._records
 
