--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -263,7 +263,7 @@
             ('unreachable', lambda instance: instance.id in self._unreachable),
             (
                 'failed',
-                lambda instance: self._health.is_avoided(instance.id, now),
+                lambda instance: self._health.is_paused(instance.id, now),
             ),
             ('cold', lambda instance: self._cold_start.is_cold(instance, now)),
         )
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -67,7 +67,7 @@
         """Whether an instance has not failed since it last answered."""
         return instance not in self._records
 
-    def is_avoided(self, instance: str, now: float) -> bool:
+    def is_paused(self, instance: str, now: float) -> bool:
         """Whether an instance gets nothing now if there are others."""
         record = self._records.get(instance)
         return record is not None and record.avoided_until > now
