--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -149,7 +149,7 @@
             if not instance.leaving
         }
         self._update_leaving_since(_now() if had_list else float('-inf'))
-        self._health.forget_others(usable)
+        self._health.retain(usable)
         listed_ids = {entry.id for entry in instances.instances}
         self._prefix_holders.retain(listed_ids)
         self._signals.retain(listed_ids)
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -80,7 +80,7 @@
             if not record.was_reached and record.failed_at + _TOLD_S > now
         ]
 
-    def forget_others(self, present: set[str]) -> None:
+    def retain(self, present: set[str]) -> None:
         """Forget the instances that are gone."""
         for name in set(self._records) - present:
             del self._records[name]
