--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -70,10 +70,10 @@
     words = []
     for domain, down in context.down.items():
         resting = context.resting.get(domain, frozenset())
-        words.append(reach.Word(domain, down, resting))
+        words.append(reach.GatewayReport(domain, down, resting))
         # The other gateways of a domain have not tried.
         rest = _GATEWAYS_PER_DOMAIN - 1
-        words += [reach.Word(domain, frozenset())] * rest
+        words += [reach.GatewayReport(domain, frozenset())] * rest
     found = reach.Reach().judge(words, context.domains, context.silent, 0.0)
     assert found == wanted, found
 
@@ -82,8 +82,13 @@
 def step_lengths(context, lengths):
     register = reach.Reach()
     now = 0.0
-    words = [reach.Word(domain, down) for domain, down in context.down.items()]
-    silence = [reach.Word(domain, frozenset()) for domain in context.down]
+    words = [
+        reach.GatewayReport(domain, down)
+        for domain, down in context.down.items()
+    ]
+    silence = [
+        reach.GatewayReport(domain, frozenset()) for domain in context.down
+    ]
     for length in lengths.split(', '):
         assert register.judge(words, context.domains, set(), now)
         now += float(length) - 0.1
@@ -156,7 +161,7 @@
     def _tell(self, now):
         """Tell all what was out of reach a moment ago."""
         words = [
-            reach.Word(domain, frozenset(one.unreachable))
+            reach.GatewayReport(domain, frozenset(one.unreachable))
             for domain, one in zip(self.words, self.heard, strict=True)
         ]
         found = self.reach.judge(words, self.domains, self.silent, now)
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -312,7 +312,7 @@
             if not router.silent and not router.has_view
         ]
         observations = [
-            reach.Word(router.member.domain, router.down, router.resting)
+            reach.GatewayReport(router.member.domain, router.down, router.resting)
             for router in gateways
         ]
         silent_domains = self._known_domains - {
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class Word:
+class GatewayReport:
     """What one gateway says.
 
     :ivar domain: its failure domain
@@ -104,7 +104,7 @@
 
     def judge(
         self,
-        words: collections.abc.Iterable[Word],
+        words: collections.abc.Iterable[GatewayReport],
         domains: collections.abc.Mapping[str, str],
         silent: Names,
         now: float,
@@ -132,8 +132,8 @@
 
 
 def _agreed(
-    words: collections.abc.Iterable[Word],
-    named: collections.abc.Callable[[Word], Names],
+    words: collections.abc.Iterable[GatewayReport],
+    named: collections.abc.Callable[[GatewayReport], Names],
 ) -> set[str]:
     """Return what gateways of enough failure domains name.
 
