--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -74,13 +74,15 @@
         # The other gateways of a domain have not tried.
         rest = _GATEWAYS_PER_DOMAIN - 1
         words += [reach.GatewayReport(domain, frozenset())] * rest
-    found = reach.Reach().judge(words, context.domains, context.silent, 0.0)
+    found = reach.Exclusions().judge(
+        words, context.domains, context.silent, 0.0
+    )
     assert found == wanted, found
 
 
 @behave.then('it is left alone for {lengths} seconds in turn')
 def step_lengths(context, lengths):
-    register = reach.Reach()
+    register = reach.Exclusions()
     now = 0.0
     words = [
         reach.GatewayReport(domain, down)
@@ -124,7 +126,7 @@
             for number in range(gateways)
             if names[number % domains] != self.lost
         ]
-        self.reach = reach.Reach()
+        self.reach = reach.Exclusions()
         self.silent = {self.lost}
         self.offers = []
 
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -92,7 +92,7 @@
         self._lists = lists or instance_lists.InstanceLists()
         self._loads = loads.Loads(self._lists)
         self._known_domains: set[str] = set()
-        self._reach = reach.Reach()
+        self._reach = reach.Exclusions()
 
     @property
     def view(self) -> pb.View:
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -95,7 +95,7 @@
         self._holds[name] = _Hold(now + length_s, length_s)
 
 
-class Reach:
+class Exclusions:
     """The instances that all gateways leave alone for a while."""
 
     def __init__(self) -> None:
