--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -74,7 +74,7 @@
         # The other gateways of a domain have not tried.
         rest = _GATEWAYS_PER_DOMAIN - 1
         words += [reach.GatewayReport(domain, frozenset())] * rest
-    found = reach.Exclusions().judge(
+    found = reach.Exclusions().update(
         words, context.domains, context.silent, 0.0
     )
     assert found == wanted, found
@@ -92,11 +92,11 @@
         reach.GatewayReport(domain, frozenset()) for domain in context.down
     ]
     for length in lengths.split(', '):
-        assert register.judge(words, context.domains, set(), now)
+        assert register.update(words, context.domains, set(), now)
         now += float(length) - 0.1
-        assert register.judge(silence, context.domains, set(), now)
+        assert register.update(silence, context.domains, set(), now)
         now += 0.2
-        assert not register.judge(silence, context.domains, set(), now)
+        assert not register.update(silence, context.domains, set(), now)
 
 
 class Fleet:
@@ -166,7 +166,7 @@
             reach.GatewayReport(domain, frozenset(one.unreachable))
             for domain, one in zip(self.words, self.heard, strict=True)
         ]
-        found = self.reach.judge(words, self.domains, self.silent, now)
+        found = self.reach.update(words, self.domains, self.silent, now)
         self.offers.append((now, found))
         for at, former in self.offers:
             if at <= now - _LAG_S:
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -318,7 +318,7 @@
         silent_domains = self._known_domains - {
             observation.domain for observation in observations
         }
-        return self._reach.judge(
+        return self._reach.update(
             observations, self._lists.domains, silent_domains, now
         )
 
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -102,7 +102,7 @@
         self._instances = _Holds()
         self._domains = _Holds()
 
-    def judge(
+    def update(
         self,
         words: collections.abc.Iterable[GatewayReport],
         domains: collections.abc.Mapping[str, str],
