--- a/src/honeyport/control/introductions.py
+++ b/src/honeyport/control/introductions.py
@@ -46,7 +46,7 @@
         self._node = node
         self._sessions = routers
         self._counters = counters
-        self._roster = roster.Roster()
+        self._roster = roster.ReconnectSchedule()
         self._calls: set[asyncio.Task[None]] = set()
         self._outcomes: dict[str, str] = {}  # of the latest call, by router
 
@@ -55,7 +55,7 @@
         while True:
             await asyncio.sleep(_PERIOD_S)
             if not self._node.leads:
-                self._roster = roster.Roster()
+                self._roster = roster.ReconnectSchedule()
                 self._outcomes.clear()
                 continue
             self._call_missing()
--- a/src/honeyport/policy/roster.py
+++ b/src/honeyport/policy/roster.py
@@ -44,7 +44,7 @@
         self.due = now + self.pause_s
 
 
-class Roster:
+class ReconnectSchedule:
     """The routers of one leadership, by name and address."""
 
     def __init__(self) -> None:
