--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -74,13 +74,13 @@
 @behave.then('nobody is forgotten after {seconds:g} seconds')
 def step_none_forgotten(context, seconds):
     played, _ = _play(context, seconds)
-    assert not played.forgotten(context.known, seconds)
+    assert not played.expired(context.known, seconds)
 
 
 @behave.then('{name} alone is forgotten after {seconds:g} seconds')
 def step_forgotten(context, name, seconds):
     played, _ = _play(context, seconds)
-    assert played.forgotten(context.known, seconds) == [name]
+    assert played.expired(context.known, seconds) == [name]
 
 
 def _play(context, seconds):
--- a/src/honeyport/control/introductions.py
+++ b/src/honeyport/control/introductions.py
@@ -64,7 +64,7 @@
 
     async def _forget(self) -> None:
         """Commit that some are called no longer, if there are any."""
-        gone = self._roster.forgotten(self._node.machine.routers, _now())
+        gone = self._roster.expired(self._node.machine.routers, _now())
         if not gone:
             return
         try:
--- a/src/honeyport/policy/roster.py
+++ b/src/honeyport/policy/roster.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self._missing: dict[str, _Missing] = {}
 
-    def forgotten(self, known: Addresses, now: float) -> list[str]:
+    def expired(self, known: Addresses, now: float) -> list[str]:
         """Return the names of those that have been missing for too long."""
         return [
             name
