--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -22,7 +22,7 @@
 
 @behave.when('new settings name {names}')
 def step_name(context, names):
-    context.contacts.use_settings(_split(names))
+    context.contacts.set_configured(_split(names))
 
 
 @behave.when(
--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -40,7 +40,7 @@
         """Whether somebody has just named the leader."""
         return bool(self._leader)
 
-    def use_settings(self, named: collections.abc.Iterable[str]) -> None:
+    def set_configured(self, named: collections.abc.Iterable[str]) -> None:
         """Take the addresses of new settings.
 
         What was learnt stays: settings may name instances that know less.
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -109,7 +109,7 @@
 
     def set_control_addresses(self, control: tuple[str, ...]) -> None:
         """Look for the leader at other addresses, too; the stream stays."""
-        self._contacts.use_settings(control)
+        self._contacts.set_configured(control)
 
     def meet(self, introduction: pb.Redirect) -> None:
         """Take it that a leader called; it is asked next, if we have none."""
