--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -17,7 +17,7 @@
 
 @behave.when('the leader names the replicas {names}')
 def step_learn(context, names):
-    context.contacts.learn(_split(names))
+    context.contacts.set_replicas(_split(names))
 
 
 @behave.when('new settings name {names}')
--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -47,7 +47,7 @@
         """
         self._named = tuple(named)
 
-    def learn(self, replicas: collections.abc.Iterable[str]) -> None:
+    def set_replicas(self, replicas: collections.abc.Iterable[str]) -> None:
         """Take the members of the control group from their leader."""
         self._replicas = tuple(replicas)
         self._heard = ()
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -263,7 +263,7 @@
             elif kind == 'presence':
                 self._state.apply_presence(item.presence)
             elif kind == 'replicas':
-                self._contacts.learn(item.replicas.addresses)
+                self._contacts.set_replicas(item.replicas.addresses)
             elif kind == 'instances':
                 found = listing.apply(self._state.instances, item.instances)
                 self._state.apply_instances(found)
