--- a/features/steps/contact_steps.py
+++ b/features/steps/contact_steps.py
@@ -29,18 +29,18 @@
     'another instance names the leader {leader} and the replicas {names}'
 )
 def step_hear(context, leader, names):
-    context.contacts.hear(leader, _split(names))
+    context.contacts.add_hint(leader, _split(names))
 
 
 @behave.when('another instance names no leader and the replicas {names}')
 def step_hear_no_leader(context, names):
-    context.contacts.hear('', _split(names))
+    context.contacts.add_hint('', _split(names))
 
 
 @behave.when('{count:d} instances name a replica each')
 def step_hear_many(context, count):
     for number in range(count):
-        context.contacts.hear('', [f'r{number}'])
+        context.contacts.add_hint('', [f'r{number}'])
 
 
 @behave.then('it asks {names} in turn')
--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -53,7 +53,7 @@
         self._heard = ()
         self._turn = 0
 
-    def hear(
+    def add_hint(
         self, leader: str, replicas: collections.abc.Iterable[str]
     ) -> None:
         """Take what another instance says; it may be out of date.
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -115,7 +115,7 @@
         """Take it that a leader called; it is asked next, if we have none."""
         logs.emit(events.INTRODUCED, leader=introduction.leader)
         if not self.attached:
-            self._contacts.hear(introduction.leader, introduction.replicas)
+            self._contacts.add_hint(introduction.leader, introduction.replicas)
 
     def whereabouts(self) -> pb.Redirect:
         """Return where control is, for an instance that asks us.
@@ -239,7 +239,7 @@
         for item in batch.items:
             if item.HasField('redirect'):
                 redirect = item.redirect
-                self._contacts.hear(redirect.leader, redirect.replicas)
+                self._contacts.add_hint(redirect.leader, redirect.replicas)
                 return True
         return False
 
