--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -36,7 +36,7 @@
         return _distinct(self._own, self._replicas, self._heard)
 
     @property
-    def has_leader(self) -> bool:
+    def has_leader_hint(self) -> bool:
         """Whether somebody has just named the leader."""
         return bool(self._leader)
 
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -167,7 +167,7 @@
                 self._start_over = True
                 reason = error.code
             self._search.end(address, reason)
-            if not self._contacts.has_leader:
+            if not self._contacts.has_leader_hint:
                 await asyncio.sleep(_PAUSE_S)
 
     async def _attach(self, address: str) -> str:
@@ -182,7 +182,7 @@
             if first is grpc.aio.EOF:
                 return leader_search.ENDED
             if self._redirected(first):
-                if self._contacts.has_leader:
+                if self._contacts.has_leader_hint:
                     return leader_search.REDIRECTED
                 return leader_search.NO_LEADER
             self._begin(box)
