--- a/src/honeyport/gateway/silence_timeout.py
+++ b/src/honeyport/gateway/silence_timeout.py
@@ -12,7 +12,7 @@
     :param limits: ``None`` for no timeout
     """
 
-    def __init__(self, limits: silence.Patience | None) -> None:
+    def __init__(self, limits: silence.Timeouts | None) -> None:
         self._limits = limits
         first_s = limits.first_s if limits else None
         self._timeout = asyncio.timeout(first_s)
--- a/src/honeyport/policy/silence.py
+++ b/src/honeyport/policy/silence.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Patience:
+class Timeouts:
     """Limits on silence, in seconds.
 
     :ivar first_s: until the first byte of an answer
@@ -32,9 +32,9 @@
     gap_s: float
 
 
-def patience(route: model.Route) -> Patience:
+def patience(route: model.Route) -> Timeouts:
     """Return the limits for a request of a route."""
-    return Patience(
+    return Timeouts(
         first_s=route.objective_ms / 1000 * _FIRST_SHARE,
         gap_s=route.gap_ms / 1000 * _GAP_SHARE,
     )
