--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -252,7 +252,7 @@
         """
         limits = None
         if exchange.may_repeat:
-            limits = silence.patience(exchange.match.route)
+            limits = silence.timeouts(exchange.match.route)
         headers = exchange.headers(self._names, connection.instance)
         sent_at = asyncio.get_running_loop().time()
         single_attempt = attempt.Attempt(
--- a/src/honeyport/policy/silence.py
+++ b/src/honeyport/policy/silence.py
@@ -32,7 +32,7 @@
     gap_s: float
 
 
-def patience(route: model.Route) -> Timeouts:
+def timeouts(route: model.Route) -> Timeouts:
     """Return the limits for a request of a route."""
     return Timeouts(
         first_s=route.objective_ms / 1000 * _FIRST_SHARE,
