--- a/src/honeyport/gateway/silence_timeout.py
+++ b/src/honeyport/gateway/silence_timeout.py
@@ -14,7 +14,7 @@
 
     def __init__(self, limits: silence.Timeouts | None) -> None:
         self._limits = limits
-        first_s = limits.first_s if limits else None
+        first_s = limits.first_byte_s if limits else None
         self._timeout = asyncio.timeout(first_s)
 
     async def __aenter__(self) -> 'SilenceTimeout':
--- a/src/honeyport/policy/silence.py
+++ b/src/honeyport/policy/silence.py
@@ -28,13 +28,13 @@
     :ivar gap_s: between two parts of it
     """
 
-    first_s: float
+    first_byte_s: float
     gap_s: float
 
 
 def timeouts(route: model.Route) -> Timeouts:
     """Return the limits for a request of a route."""
     return Timeouts(
-        first_s=route.objective_ms / 1000 * _FIRST_SHARE,
+        first_byte_s=route.objective_ms / 1000 * _FIRST_SHARE,
         gap_s=route.gap_ms / 1000 * _GAP_SHARE,
     )
