--- a/features/steps/stale_steps.py
+++ b/features/steps/stale_steps.py
@@ -45,7 +45,7 @@
 @behave.given('counts of {a:d}, {b:d} and {c:d} that are {age:d} seconds old')
 def step_counts(context, a, b, c, age):
     others = {'i-0': a, 'i-1': b, 'i-2': c}
-    counts = stale.Counts(
+    counts = stale.LoadCounts(
         own=lambda name: 0,
         others=others.__getitem__,
         age_s=float(age),
--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -46,7 +46,9 @@
         self,
         load: Workload,
         seed: int,
-        choose: typing.Callable[[list[str], stale.Counts], str] = stale.choose,
+        choose: typing.Callable[
+            [list[str], stale.LoadCounts], str
+        ] = stale.choose,
     ) -> None:
         self._load = load
         self._choose = choose
@@ -123,8 +125,8 @@
 
         self._later(now + stay_s, end)
 
-    def _counts(self, gateway: int, now: float) -> stale.Counts:
-        return stale.Counts(
+    def _counts(self, gateway: int, now: float) -> stale.LoadCounts:
+        return stale.LoadCounts(
             own=lambda name: self._own[gateway][name],
             others=lambda name: self._others[gateway][name],
             # Reports were half a period old on average when they were added.
@@ -133,7 +135,7 @@
         )
 
 
-def least_loaded(names: list[str], counts: stale.Counts) -> str:
+def least_loaded(names: list[str], counts: stale.LoadCounts) -> str:
     """Choose as if what is known of other gateways were true now."""
 
     def known(name: str) -> tuple[float, float]:
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -203,7 +203,7 @@
                 f'all remaining instances of {service} are cold',
                 retry_after=_ALL_COLD_RETRY_S,
             )
-        counts = stale.Counts(
+        counts = stale.LoadCounts(
             own=lambda name: self._running[name],
             others=lambda name: self._remote_running.get(name, 0),
             age_s=_now() - self._remote_counted_at,
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -84,7 +84,7 @@
 def choose_by_prefix(
     parts: prefixes.Parts,
     among: Candidates,
-    counts: stale.Counts,
+    counts: stale.LoadCounts,
     domain: str,
 ) -> Choice:
     """Return the first instance for a prompt that is under the bound.
@@ -104,7 +104,7 @@
 def _under_bound(
     parts: prefixes.Parts,
     found: Instances,
-    counts: stale.Counts,
+    counts: stale.LoadCounts,
     bound: float,
 ) -> Choice | None:
     """Return the first one that runs less than a bound, if any does."""
@@ -118,7 +118,7 @@
 
 
 def choose_by_load(
-    found: Instances, counts: stale.Counts, domain: str
+    found: Instances, counts: stale.LoadCounts, domain: str
 ) -> Choice:
     """Return an instance that likely runs least.
 
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Counts:
+class LoadCounts:
     """What a gateway knows of the requests on instances.
 
     :ivar own: returns what runs on one through this gateway
@@ -63,7 +63,7 @@
 
 
 def shares(
-    names: collections.abc.Sequence[str], counts: Counts
+    names: collections.abc.Sequence[str], counts: LoadCounts
 ) -> list[float]:
     """Return with which weight each instance takes the next request.
 
@@ -84,7 +84,7 @@
     return [float(one == min(stay)) for one in stay]
 
 
-def choose(names: collections.abc.Sequence[str], counts: Counts) -> str:
+def choose(names: collections.abc.Sequence[str], counts: LoadCounts) -> str:
     """Return the instance for the next request.
 
     :param names: the instances to choose from, not empty
