--- a/features/steps/stale_steps.py
+++ b/features/steps/stale_steps.py
@@ -49,7 +49,7 @@
         own=lambda name: 0,
         others=others.__getitem__,
         age_s=float(age),
-        stay_s=0.1,
+        mean_duration_s=0.1,
     )
     weights = stale.shares(list(others), counts)
     context.shares = [one / sum(weights) for one in weights]
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -39,7 +39,7 @@
     own: collections.abc.Callable[[str], int]
     others: collections.abc.Callable[[str], int]
     age_s: float
-    stay_s: float
+    mean_duration_s: float
 
     def known(self, name: str) -> int:
         """Return what runs on an instance, the others' as it was known."""
@@ -74,7 +74,7 @@
     :param names: not empty
     :returns: weights that are not all 0
     """
-    left = math.exp(-counts.age_s / max(counts.stay_s, 1e-3))
+    left = math.exp(-counts.age_s / max(counts.mean_duration_s, 1e-3))
     stay = [counts.own(name) + counts.others(name) * left for name in names]
     came = sum(counts.others(name) for name in names) * (1 - left)
     level = _level(sorted(stay), came)
