--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -139,7 +139,7 @@
     """Choose as if what is known of other gateways were true now."""
 
     def known(name: str) -> tuple[float, float]:
-        return counts.known(name), random.random()
+        return counts.total(name), random.random()
 
     return min(names, key=known)
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -92,7 +92,7 @@
     :param parts: the parts of the prompt, not empty
     :param domain: our failure domain
     """
-    total = sum(counts.known(instance.id) for instance in among.peers)
+    total = sum(counts.total(instance.id) for instance in among.peers)
     bound = _BOUND * (total + 1) / len(among.peers) + _BOUND_EXTRA
     for found in (among.preferred, among.reserve):
         choice = _under_bound(parts, found, counts, bound)
@@ -111,7 +111,7 @@
     by_place = {one.place: one for one in found if one.place}
     for rank, place in enumerate(prefixes.rank_places(parts, by_place)):
         instance = by_place[place]
-        running = counts.known(instance.id)
+        running = counts.total(instance.id)
         if running < bound:
             return Choice(instance, rank, running, bound, len(found))
     return None
@@ -129,11 +129,11 @@
     """
     by_id = {one.id: one for one in found}
     names = list(by_id)
-    if not any(map(counts.known, names)):
+    if not any(map(counts.total, names)):
         near = [one.id for one in found if one.domain == domain]
         names = near or names
     chosen = stale.choose(names, counts)
-    running = counts.known(chosen)
+    running = counts.total(chosen)
     return Choice(by_id[chosen], -1, running, 0.0, len(found))
 
 
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -41,7 +41,7 @@
     age_s: float
     mean_duration_s: float
 
-    def known(self, name: str) -> int:
+    def total(self, name: str) -> int:
         """Return what runs on an instance, the others' as it was known."""
         return self.own(name) + self.others(name)
 
