--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -63,7 +63,7 @@
         self._in_sum = list(self._reported)
         self._others = [collections.Counter[str]() for _ in gateways]
         self._heard = [0.0 for _ in gateways]
-        self._stays = [stale.Stays() for _ in gateways]
+        self._stays = [stale.DurationMeans() for _ in gateways]
         self._events: list[tuple[float, int, typing.Any]] = []
         self._numbers = itertools.count()
         self._offers = 0
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -63,7 +63,7 @@
         self._unreachable: collections.abc.Set[str] = frozenset()
         self._remote_running: collections.abc.Mapping[str, int] = {}
         self._remote_counted_at = float('-inf')
-        self._durations = stale.Stays()
+        self._durations = stale.DurationMeans()
         self._prefix_holders = prefixes.Holders()
         self._leaving_since: dict[str, float] = {}
 
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -46,7 +46,7 @@
         return self.own(name) + self.others(name)
 
 
-class Stays:
+class DurationMeans:
     """How long requests run, by service: a moving mean."""
 
     def __init__(self) -> None:
