--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -121,7 +121,7 @@
         def end(at: float) -> None:
             self._running[name] -= 1
             self._own[gateway][name] -= 1
-            self._stays[gateway].note('s', stay_s)
+            self._stays[gateway].add('s', stay_s)
 
         self._later(now + stay_s, end)
 
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -288,7 +288,7 @@
         try:
             yield
             # Durations of failed requests are not representative.
-            self._durations.note(instance.service, _now() - started_at)
+            self._durations.add(instance.service, _now() - started_at)
         finally:
             self._running[instance.id] -= 1
             if not self._running[instance.id]:
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
-    def note(self, service: str, stay_s: float) -> None:
+    def add(self, service: str, stay_s: float) -> None:
         """Take how long a request ran that has ended."""
         mean = self._means.get(service, stay_s)
         self._means[service] = mean + _WEIGHT * (stay_s - mean)
