--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -131,7 +131,7 @@
             others=lambda name: self._others[gateway][name],
             # Reports were half a period old on average when they were added.
             age_s=now - self._heard[gateway] + (_PERIOD_S + _TICK_S) / 2,
-            mean_duration_s=self._stays[gateway].of('s'),
+            mean_duration_s=self._stays[gateway].mean_s('s'),
         )
 
 
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -207,7 +207,7 @@
             own=lambda name: self._running[name],
             others=lambda name: self._remote_running.get(name, 0),
             age_s=_now() - self._remote_counted_at,
-            mean_duration_s=self._durations.of(service),
+            mean_duration_s=self._durations.mean_s(service),
         )
         if not parts:
             return placement.choose_by_load(
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -57,7 +57,7 @@
         mean = self._means.get(service, stay_s)
         self._means[service] = mean + _WEIGHT * (stay_s - mean)
 
-    def of(self, service: str) -> float:
+    def mean_s(self, service: str) -> float:
         """Return how long a request is expected to run, in seconds."""
         return self._means.get(service, _FIRST_STAY_S)
 
