--- a/features/steps/stale_steps.py
+++ b/features/steps/stale_steps.py
@@ -51,7 +51,7 @@
         age_s=float(age),
         mean_duration_s=0.1,
     )
-    weights = stale.shares(list(others), counts)
+    weights = stale.weights(list(others), counts)
     context.shares = [one / sum(weights) for one in weights]
 
 
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -62,7 +62,7 @@
         return self._means.get(service, _FIRST_STAY_S)
 
 
-def shares(
+def weights(
     names: collections.abc.Sequence[str], counts: LoadCounts
 ) -> list[float]:
     """Return with which weight each instance takes the next request.
@@ -89,7 +89,7 @@
 
     :param names: the instances to choose from, not empty
     """
-    return random.choices(names, shares(names, counts))[0]
+    return random.choices(names, weights(names, counts))[0]
 
 
 def _level(stay: list[float], came: float) -> float:
