--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -14,7 +14,7 @@
 
 from honeyport.wire import honeyport_pb2 as pb
 
-MOST = 64
+MAX_ADDRESSES = 64
 # Fewer gateways than this in the caller's failure domain could not take
 # its callers' load if one more is lost; then all are named.
 _FEWEST_NEAR = 2
@@ -63,8 +63,8 @@
         ]
     found = found or members
     addresses = [member.address for member in found]
-    if len(addresses) > MOST:
-        addresses = random.sample(addresses, MOST)
+    if len(addresses) > MAX_ADDRESSES:
+        addresses = random.sample(addresses, MAX_ADDRESSES)
     return sorted(addresses)
 
 
