--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -45,7 +45,7 @@
 
 def by_policy(context):
     """Return the lifetime that the policy gives to a list."""
-    policy = addresses.Lifetime()
+    policy = addresses.ListLifetime()
 
     def lifetime(now):
         leaving = [one for one in context.gateways if one.is_leaving(now)]
@@ -81,7 +81,7 @@
 
 @behave.then('a list of second {at:d} is kept for {seconds:d} s')
 def step_kept_for(context, at, seconds):
-    policy = addresses.Lifetime()
+    policy = addresses.ListLifetime()
     if at >= context.left:
         policy.note(['gateway'], context.left)
     assert policy.seconds(float(at)) == seconds
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -86,7 +86,7 @@
             counters,
         )
         self._version = 0
-        self._lifetime = addresses.Lifetime()
+        self._lifetime = addresses.ListLifetime()
         self._expose(counters)
 
     @property
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -68,7 +68,7 @@
     return sorted(addresses)
 
 
-class Lifetime:
+class ListLifetime:
     """How long callers may keep a list, by who has been leaving."""
 
     def __init__(self) -> None:
