--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -49,7 +49,7 @@
 
     def lifetime(now):
         leaving = [one for one in context.gateways if one.is_leaving(now)]
-        policy.note(leaving, now)
+        policy.record_leaving(leaving, now)
         return policy.seconds(now)
 
     return lifetime
@@ -83,7 +83,7 @@
 def step_kept_for(context, at, seconds):
     policy = addresses.ListLifetime()
     if at >= context.left:
-        policy.note(['gateway'], context.left)
+        policy.record_leaving(['gateway'], context.left)
     assert policy.seconds(float(at)) == seconds
 
 
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -189,7 +189,7 @@
         """Bring choice, connections and limits in line with the state."""
         self._gate.update()
         now = asyncio.get_running_loop().time()
-        self._lifetime.note(self._state.draining_routers, now)
+        self._lifetime.record_leaving(self._state.draining_routers, now)
         # Before the list: it is read with the services' tolerances.
         if self._state.version != self._version:
             self._version = self._state.version
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -74,7 +74,9 @@
     def __init__(self) -> None:
         self._left = float('-inf')
 
-    def note(self, leaving: collections.abc.Sized, now: float) -> None:
+    def record_leaving(
+        self, leaving: collections.abc.Sized, now: float
+    ) -> None:
         """Take the gateways that are leaving now."""
         if leaving:
             self._left = now
