--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -50,7 +50,7 @@
     def lifetime(now):
         leaving = [one for one in context.gateways if one.is_leaving(now)]
         policy.record_leaving(leaving, now)
-        return policy.seconds(now)
+        return policy.lifetime_s(now)
 
     return lifetime
 
@@ -84,7 +84,7 @@
     policy = addresses.ListLifetime()
     if at >= context.left:
         policy.record_leaving(['gateway'], context.left)
-    assert policy.seconds(float(at)) == seconds
+    assert policy.lifetime_s(float(at)) == seconds
 
 
 @behave.given('gateways in thu-duc twice, tan-binh once, son-tra once')
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -116,7 +116,7 @@
     @property
     def list_lifetime_s(self) -> float:
         """How long callers may keep a list of gateways, in seconds."""
-        return self._lifetime.seconds(asyncio.get_running_loop().time())
+        return self._lifetime.lifetime_s(asyncio.get_running_loop().time())
 
     def addresses(self, domain: str) -> list[str]:
         """Return where a caller from a failure domain may connect."""
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -81,7 +81,7 @@
         if leaving:
             self._left = now
 
-    def seconds(self, now: float) -> float:
+    def lifetime_s(self, now: float) -> float:
         """Return how long a list that is given out now may be kept."""
         if now - self._left < _LEAVING_S:
             return _KEPT_WHILE_LEAVING_S
