--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -121,7 +121,7 @@
     def addresses(self, domain: str) -> list[str]:
         """Return where a caller from a failure domain may connect."""
         found = self._state.serving_routers
-        if addresses.is_out_of_touch(self._state.control_silence_s):
+        if addresses.is_isolated(self._state.control_silence_s):
             found = [
                 member
                 for member in found
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -31,7 +31,7 @@
 _OUT_OF_TOUCH_S = 0.8
 
 
-def is_out_of_touch(silence_s: float) -> bool:
+def is_isolated(silence_s: float) -> bool:
     """Whether a gateway leaves itself out of the lists that it gives.
 
     :param silence_s: for how long it has not heard from control
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -123,7 +123,7 @@
         A leader that has fallen silent is not named: whoever asks would lose
         a try on it.
         """
-        is_lost = addresses.is_out_of_touch(self._state.control_silence_s)
+        is_lost = addresses.is_isolated(self._state.control_silence_s)
         return pb.Redirect(
             leader='' if is_lost else self.leader,
             replicas=self._contacts.replicas,
