--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -41,7 +41,7 @@
         self,
         settings: roles.Router,
         names: gateway_headers.HeaderNames,
-        leaving: draining.Leaving,
+        leaving: draining.DrainTimes,
         allowance: repeats.Allowance,
         counters: metrics.Metrics,
     ) -> None:
--- a/src/honeyport/policy/draining.py
+++ b/src/honeyport/policy/draining.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Leaving:
+class DrainTimes:
     """How a gateway leaves; seconds from the signal.
 
     :ivar refuse_s: until new requests are refused
@@ -27,7 +27,7 @@
     stop_s: float
 
 
-def leaving(grace_s: float) -> Leaving:
+def leaving(grace_s: float) -> DrainTimes:
     """Return how to leave within the time from SIGTERM to SIGKILL."""
     stop_s = max(0.0, grace_s - _EXIT_S)
-    return Leaving(refuse_s=min(_REFUSE_S, stop_s), stop_s=stop_s)
+    return DrainTimes(refuse_s=min(_REFUSE_S, stop_s), stop_s=stop_s)
