--- a/features/steps/draining_steps.py
+++ b/features/steps/draining_steps.py
@@ -8,7 +8,7 @@
 @behave.given('{grace:d} s from SIGTERM to SIGKILL')
 def step_grace(context, grace):
     context.grace_s = grace
-    context.leaving = draining.leaving(grace)
+    context.leaving = draining.drain_times(grace)
 
 
 @behave.then(
--- a/src/honeyport/platform/node.py
+++ b/src/honeyport/platform/node.py
@@ -82,7 +82,7 @@
         self._gateway = gateway = gateway_daemon.Gateway(
             settings,
             names.HEADERS,
-            draining.leaving(self._boot.grace_s),
+            draining.drain_times(self._boot.grace_s),
             repeats.Allowance(
                 ratio=self._boot.retry_ratio,
                 extra=self._boot.retry_extra,
--- a/src/honeyport/policy/draining.py
+++ b/src/honeyport/policy/draining.py
@@ -27,7 +27,7 @@
     stop_s: float
 
 
-def leaving(grace_s: float) -> DrainTimes:
+def drain_times(grace_s: float) -> DrainTimes:
     """Return how to leave within the time from SIGTERM to SIGKILL."""
     stop_s = max(0.0, grace_s - _EXIT_S)
     return DrainTimes(refuse_s=min(_REFUSE_S, stop_s), stop_s=stop_s)
