--- a/features/steps/draining_steps.py
+++ b/features/steps/draining_steps.py
@@ -16,7 +16,7 @@
     'is refused'
 )
 def step_refused(context, sent, late):
-    assert context.leaving.refuse_s + late < sent, context.leaving
+    assert context.leaving.refuse_after_s + late < sent, context.leaving
 
 
 @behave.then('what runs has {most:d} s to end, and {rest:d} s is left to exit')
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -166,7 +166,7 @@
         began = loop.time()
         self._entry.leave()
         self._session.announce_leaving()
-        await asyncio.sleep(self._leaving.refuse_s)
+        await asyncio.sleep(self._leaving.refuse_after_s)
         self._entry.refuse()
         while loop.time() - began < self._leaving.stop_s:
             if not self._forwarder.running:
--- a/src/honeyport/policy/draining.py
+++ b/src/honeyport/policy/draining.py
@@ -23,11 +23,11 @@
     :ivar stop_s: until what still runs is given up
     """
 
-    refuse_s: float
+    refuse_after_s: float
     stop_s: float
 
 
 def drain_times(grace_s: float) -> DrainTimes:
     """Return how to leave within the time from SIGTERM to SIGKILL."""
     stop_s = max(0.0, grace_s - _EXIT_S)
-    return DrainTimes(refuse_s=min(_REFUSE_S, stop_s), stop_s=stop_s)
+    return DrainTimes(refuse_after_s=min(_REFUSE_S, stop_s), stop_s=stop_s)
