--- a/features/steps/draining_steps.py
+++ b/features/steps/draining_steps.py
@@ -21,5 +21,5 @@
 
 @behave.then('what runs has {most:d} s to end, and {rest:d} s is left to exit')
 def step_rest(context, most, rest):
-    assert context.leaving.stop_s == most, context.leaving
-    assert context.grace_s - context.leaving.stop_s == rest
+    assert context.leaving.stop_after_s == most, context.leaving
+    assert context.grace_s - context.leaving.stop_after_s == rest
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -49,7 +49,7 @@
                 control=(local.free_address(),),
             ),
             _NAMES,
-            draining.DrainTimes(refuse_after_s=0.2, stop_s=2.0),
+            draining.DrainTimes(refuse_after_s=0.2, stop_after_s=2.0),
             repeats.Allowance(extra=extra),
             self.counters,
         )
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -168,7 +168,7 @@
         self._session.announce_leaving()
         await asyncio.sleep(self._leaving.refuse_after_s)
         self._entry.refuse()
-        while loop.time() - began < self._leaving.stop_s:
+        while loop.time() - began < self._leaving.stop_after_s:
             if not self._forwarder.running:
                 return
             await asyncio.sleep(_POLL_S)
--- a/src/honeyport/policy/draining.py
+++ b/src/honeyport/policy/draining.py
@@ -24,10 +24,12 @@
     """
 
     refuse_after_s: float
-    stop_s: float
+    stop_after_s: float
 
 
 def drain_times(grace_s: float) -> DrainTimes:
     """Return how to leave within the time from SIGTERM to SIGKILL."""
     stop_s = max(0.0, grace_s - _EXIT_S)
-    return DrainTimes(refuse_after_s=min(_REFUSE_S, stop_s), stop_s=stop_s)
+    return DrainTimes(
+        refuse_after_s=min(_REFUSE_S, stop_s), stop_after_s=stop_s
+    )
