--- a/src/honeyport/operators.py
+++ b/src/honeyport/operators.py
@@ -161,9 +161,9 @@
         named = bytes.fromhex(fingerprint)
     except ValueError:
         named = b''
-    if len(named) != fingerprints.LENGTH:
+    if len(named) != fingerprints.LENGTH_BYTES:
         raise errors.UsageInvalid(
-            f'{fingerprint!r} is no fingerprint: {2 * fingerprints.LENGTH} '
+            f'{fingerprint!r} is no fingerprint: {2 * fingerprints.LENGTH_BYTES} '
             'hexadecimal digits, as `fleet suspects` shows them'
         )
     request = pb.ClearRequest(request=named)
--- a/src/honeyport/policy/fingerprints.py
+++ b/src/honeyport/policy/fingerprints.py
@@ -11,7 +11,7 @@
 # Bytes of the hash that are kept. Two bodies with one fingerprint take 2**64
 # tries to find, and whoever finds them has two requests of their own counted
 # as one: the account is part of what is hashed.
-LENGTH = 16
+LENGTH_BYTES = 16
 
 
 def of(account: str, host: str, target: str, body: bytes) -> str:
@@ -31,4 +31,4 @@
         found.update(len(text).to_bytes(4, 'big'))
         found.update(text)
     found.update(body)
-    return found.digest()[:LENGTH].hex()
+    return found.digest()[:LENGTH_BYTES].hex()
