--- a/src/honeyport/control/router_updates.py
+++ b/src/honeyport/control/router_updates.py
@@ -76,7 +76,7 @@
         routers: fleet.Fleet,
         lists: instance_lists.InstanceLists,
         held: suspects.Suspects,
-        pace: pacing.Pace,
+        pace: pacing.TokenBucket,
     ) -> None:
         self._node = node
         self._fleet = routers
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -14,7 +14,7 @@
 _BITS = 8
 
 
-class Pace:
+class TokenBucket:
     """What may still be sent now: a token bucket.
 
     :param bytes_per_s: of the link
@@ -44,6 +44,6 @@
         return True
 
 
-def link(megabits_per_s: float) -> Pace:
+def link(megabits_per_s: float) -> TokenBucket:
     """Return the pace for a link."""
-    return Pace(megabits_per_s * 1e6 / _BITS)
+    return TokenBucket(megabits_per_s * 1e6 / _BITS)
