--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -9,7 +9,7 @@
 
 @behave.given('a link of {speed:d} Mbit/s')
 def step_link(context, speed):
-    context.pace = pacing.link(speed)
+    context.pace = pacing.for_link(speed)
 
 
 @behave.when('{count:d} messages of {size:d} bytes wait to be sent')
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -44,6 +44,6 @@
         return True
 
 
-def link(megabits_per_s: float) -> TokenBucket:
+def for_link(megabits_per_s: float) -> TokenBucket:
     """Return the pace for a link."""
     return TokenBucket(megabits_per_s * 1e6 / _BITS)
