--- a/features/steps/catalog_steps.py
+++ b/features/steps/catalog_steps.py
@@ -43,7 +43,7 @@
         self.missing = ''
         self.again_s: float | None = None
         self.reads = 0
-        self.refusals: list[readings.Refusal] = []
+        self.refusals: list[readings.RefusedEntry] = []
         self.counters = metrics.Metrics()
         self.node = _Leader()
         self.lead()
@@ -136,7 +136,7 @@
     'a part with a spoilt entry of {name} that names {names} is all it reads'
 )
 def step_read_part_refused(context, names, name):
-    refusal = readings.Refusal(id=name, reason='slots is unusable')
+    refusal = readings.RefusedEntry(id=name, reason='slots is unusable')
     context.catalog.refusals = [refusal]
     step_read_part(context, names)
 
--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -58,7 +58,7 @@
         self._node = node
         self._source = source
         self._metrics = counters
-        self._refusals: tuple[readings.Refusal, ...] = ()
+        self._refusals: tuple[readings.RefusedEntry, ...] = ()
         self._assigner: places.Assigner | None = None
         self._has_unsaved_places = False
         self._lists = instance_lists.InstanceLists()
@@ -205,7 +205,7 @@
             logs.emit(events.LIST_REGAINED)
         self._is_readable = not missing
 
-    def _log_refusals(self, refusals: tuple[readings.Refusal, ...]) -> None:
+    def _log_refusals(self, refusals: tuple[readings.RefusedEntry, ...]) -> None:
         """Count the refused entries; log them when they change."""
         self._metrics.count('list_entries_refused', len(refusals))
         if refusals and refusals != self._refusals:
--- a/src/honeyport/platform/entries.py
+++ b/src/honeyport/platform/entries.py
@@ -61,20 +61,26 @@
     return Page(entries=page['instances'], next=following)
 
 
-def decode(entry: typing.Any) -> pb.Instance | readings.Refusal:
+def decode(entry: typing.Any) -> pb.Instance | readings.RefusedEntry:
     """Return the instance that an entry names, or why it names none."""
     if not isinstance(entry, dict):
-        return readings.Refusal(reason='not an object')
+        return readings.RefusedEntry(reason='not an object')
     name = entry.get('id')
     known = name if _is_text(name) else ''
     for field, check in _REQUIRED.items():
         if field not in entry:
-            return readings.Refusal(id=known, reason=f'{field} is missing')
+            return readings.RefusedEntry(
+                id=known, reason=f'{field} is missing'
+            )
         if not check(entry[field]):
-            return readings.Refusal(id=known, reason=f'{field} is unusable')
+            return readings.RefusedEntry(
+                id=known, reason=f'{field} is unusable'
+            )
     for field, check in _OPTIONAL.items():
         if field in entry and not check(entry[field]):
-            return readings.Refusal(id=known, reason=f'{field} is unusable')
+            return readings.RefusedEntry(
+                id=known, reason=f'{field} is unusable'
+            )
     return pb.Instance(
         id=entry['id'],
         service=entry['service'],
--- a/src/honeyport/platform/listing.py
+++ b/src/honeyport/platform/listing.py
@@ -116,7 +116,9 @@
     :ivar again_s: when the platform wants to be asked again; 0 for any time
     """
 
-    decoded: list[pb.Instance | readings.Refusal] = attrs.field(factory=list)
+    decoded: list[pb.Instance | readings.RefusedEntry] = attrs.field(
+        factory=list
+    )
     pages: int = 0
     is_whole: bool = False
     missing: str = ''
@@ -137,7 +139,9 @@
     missing = [part.missing for part in parts if part.missing]
     return readings.Reading(
         instances=[one for one in decoded if isinstance(one, pb.Instance)],
-        refusals=[one for one in decoded if isinstance(one, readings.Refusal)],
+        refusals=[
+            one for one in decoded if isinstance(one, readings.RefusedEntry)
+        ],
         missing='; '.join(missing),
         again_s=max((part.again_s for part in parts), default=0.0),
     )
--- a/src/honeyport/policy/readings.py
+++ b/src/honeyport/policy/readings.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Refusal:
+class RefusedEntry:
     """An entry of the list that names no instance to use.
 
     :ivar id: the instance that it speaks of, if that much can be read
@@ -36,7 +36,7 @@
     """
 
     instances: collections.abc.Sequence[pb.Instance] = ()
-    refusals: collections.abc.Sequence[Refusal] = ()
+    refusals: collections.abc.Sequence[RefusedEntry] = ()
     missing: str = ''
     again_s: float = 0.0
 
