--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -137,7 +137,7 @@
             self._log_readability(error.detail)
             return min(error.retry_after or 0.0, _MAX_RETRY_AFTER_S)
         self._update(reading)
-        return min(reading.again_s, _MAX_RETRY_AFTER_S)
+        return min(reading.retry_after_s, _MAX_RETRY_AFTER_S)
 
     def _update(self, reading: readings.Reading) -> None:
         """Publish a new list if the reading differs from the latest one."""
--- a/src/honeyport/platform/listing.py
+++ b/src/honeyport/platform/listing.py
@@ -143,5 +143,5 @@
             one for one in decoded if isinstance(one, readings.RefusedEntry)
         ],
         missing='; '.join(missing),
-        again_s=max((part.again_s for part in parts), default=0.0),
+        retry_after_s=max((part.again_s for part in parts), default=0.0),
     )
--- a/src/honeyport/policy/readings.py
+++ b/src/honeyport/policy/readings.py
@@ -38,7 +38,7 @@
     instances: collections.abc.Sequence[pb.Instance] = ()
     refusals: collections.abc.Sequence[RefusedEntry] = ()
     missing: str = ''
-    again_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 Instances = collections.abc.Iterable[pb.Instance]
