--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -71,7 +71,7 @@
         self._known: dict[tuple[str, str], _Known] = {}
         self._placements: dict[tuple[str, str], str] = {}
         self._pools: dict[str, http.Pool] = {}
-        self._budget = retries.Budget()
+        self._budget = retries.RetryBudget()
         self._random = random.Random()
 
     def close(self) -> None:
--- a/src/honeyport/policy/retries.py
+++ b/src/honeyport/policy/retries.py
@@ -3,7 +3,7 @@
 _LARGEST = 20.0  # without a limit from outside: a failure of a few seconds
 
 
-class Budget:
+class RetryBudget:
     """Retries are a share of the requests, with a few to begin with.
 
     :param share: retries for each request
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -55,7 +55,7 @@
         self._steward = local
         self._links = links
         self._metrics = counters
-        self._budget = retries.Budget()
+        self._budget = retries.RetryBudget()
 
     def candidates(self, service: str, chat: str, hint: str) -> list[str]:
         """Return the backend servers for a chat, the best one first.
