--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -222,7 +222,7 @@
         self, service: str, chat: str, deadline_s: float
     ) -> collections.abc.AsyncIterator[str]:
         """Yield one address after another, with pauses in between."""
-        self._budget.earn()
+        self._budget.record_request()
         loop = asyncio.get_running_loop()
         until = loop.time() + deadline_s
         pause_s = _PAUSE_S
--- a/src/honeyport/policy/retries.py
+++ b/src/honeyport/policy/retries.py
@@ -15,7 +15,7 @@
         self._most = most
         self._tokens = most
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Count a request."""
         self._tokens = min(self._most, self._tokens + self._share)
 
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -73,7 +73,7 @@
         self, call: exchange.Call, hint: str = ''
     ) -> exchange.Answer:
         """Yield the answer of whichever backend server takes the call."""
-        self._budget.earn()
+        self._budget.record_request()
         loop = asyncio.get_running_loop()
         until = self._handover_until(call)
         while True:
