--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -117,7 +117,7 @@
                 return
             except errors.HoneyportError as error:
                 problem = error
-            if not _may_retry_chat(problem) or not self._budget.spend():
+            if not _may_retry_chat(problem) or not self._budget.try_spend():
                 raise problem
             progress.offset.begin_resume()
         raise problem
--- a/src/honeyport/policy/retries.py
+++ b/src/honeyport/policy/retries.py
@@ -19,7 +19,7 @@
         """Count a request."""
         self._tokens = min(self._most, self._tokens + self._share)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry out; return whether there was one."""
         if self._tokens < 1.0:
             return False
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -132,7 +132,7 @@
         if not call.repeatable:
             return False
         self._metrics.count('retries')
-        return self._budget.spend()
+        return self._budget.try_spend()
 
     async def _whole(
         self, call: exchange.Call, backend: str
