--- a/src/honeyport/backend/engine.py
+++ b/src/honeyport/backend/engine.py
@@ -105,7 +105,7 @@
 
     def _refuse(self, head: exchange.Head) -> None:
         """Raise if the engine says that it did not take the request."""
-        if retry_after.is_turned_away(head.status):
+        if retry_after.is_rejection(head.status):
             raise errors.BackendFull(
                 f'{self._name} is busy', retry_after=head.retry_after_s
             )
--- a/src/honeyport/policy/retry_after.py
+++ b/src/honeyport/policy/retry_after.py
@@ -8,7 +8,7 @@
 _TURNED_AWAY = frozenset((429, 503))
 
 
-def is_turned_away(status: int) -> bool:
+def is_rejection(status: int) -> bool:
     """Whether an answer's status says that the request was turned away."""
     return status in _TURNED_AWAY
 
@@ -19,7 +19,7 @@
     :param status: of the answer
     :param text: the value of its header, or ``''``
     """
-    return seconds(text) if is_turned_away(status) else None
+    return seconds(text) if is_rejection(status) else None
 
 
 def seconds(text: str) -> float | None:
