--- a/src/honeyport/exchange.py
+++ b/src/honeyport/exchange.py
@@ -80,7 +80,7 @@
             for name, value in self.headers
             if name.lower() == 'retry-after'
         )
-        return retry_after.asked_s(self.status, next(named, ''))
+        return retry_after.requested_s(self.status, next(named, ''))
 
     @property
     def is_success(self) -> bool:
--- a/src/honeyport/platform/listing.py
+++ b/src/honeyport/platform/listing.py
@@ -131,7 +131,7 @@
     if response is None:
         return None
     text = response.headers.get('Retry-After', '')
-    return retry_after.asked_s(response.code, text)
+    return retry_after.requested_s(response.code, text)
 
 
 def _reading(parts: collections.abc.Collection[_Part]) -> readings.Reading:
--- a/src/honeyport/policy/retry_after.py
+++ b/src/honeyport/policy/retry_after.py
@@ -13,7 +13,7 @@
     return status in _TURNED_AWAY
 
 
-def asked_s(status: int, text: str) -> float | None:
+def requested_s(status: int, text: str) -> float | None:
     """Return for how long who answers wants nothing, or ``None``.
 
     :param status: of the answer
