--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -19,12 +19,12 @@
 def step_header(context, text):
     if text in _DATES:
         text = email.utils.formatdate(time.time() + _DATES[text], usegmt=True)
-    context.asked_s = retry_after.seconds(text)
+    context.asked_s = retry_after.parse_s(text)
 
 
 @behave.when('an instance answers 503 with Retry-After ""')
 def step_no_header(context):
-    context.asked_s = retry_after.seconds('')
+    context.asked_s = retry_after.parse_s('')
 
 
 @behave.then('it asks for nothing')
@@ -64,7 +64,7 @@
 
 @behave.when('1 s later it turns a request away and asks for nothing')
 def step_turns_away(context):
-    assert retry_after.seconds('') is None
+    assert retry_after.parse_s('') is None
 
 
 @behave.when('1 s later a new list of instances names it')
--- a/src/honeyport/policy/retry_after.py
+++ b/src/honeyport/policy/retry_after.py
@@ -19,10 +19,10 @@
     :param status: of the answer
     :param text: the value of its header, or ``''``
     """
-    return seconds(text) if is_rejection(status) else None
+    return parse_s(text) if is_rejection(status) else None
 
 
-def seconds(text: str) -> float | None:
+def parse_s(text: str) -> float | None:
     """Return the time that a header names, or ``None`` if it names none.
 
     Platforms write fractions as well. A date counts from the time of day
