--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -17,7 +17,7 @@
 from honeyport import exchange
 from honeyport.policy import fingerprints
 from honeyport.policy import hashing
-from honeyport.policy import rests
+from honeyport.policy import backoffs
 from honeyport.router import backend_state
 from honeyport.router import end_detector
 from honeyport.router import fleetstate
@@ -63,7 +63,7 @@
         )
         self._news = asyncio.Event()
         self._lapsed = False
-        self._rests = rests.Backoffs()
+        self._rests = backoffs.Backoffs()
         self._transfers = prefix_transfer.Transfers(state, counters)
         self._parting: set[asyncio.Task[None]] = set()
         counters.gauge('steward_slots', lambda: len(self._owned()))
