--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from honeyport.policy import roster
+from honeyport.policy import reconnects
 
 _STEP_S = 0.25
 
@@ -85,7 +85,7 @@
 
 def _play(context, seconds):
     """Return the roster after a time, and who was called when."""
-    played = roster.ReconnectSchedule()
+    played = reconnects.ReconnectSchedule()
     calls = []
     for step in range(int(seconds / _STEP_S) + 1):
         now = step * _STEP_S
--- a/src/honeyport/control/introductions.py
+++ b/src/honeyport/control/introductions.py
@@ -1,7 +1,7 @@
 """A leader's calls to routers that have no stream to it.
 
 Where the routers listen is part of the replicated state, so that it outlives
-a loss of all processes (:mod:`honeyport.policy.roster`).
+a loss of all processes (:mod:`honeyport.policy.reconnects`).
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from honeyport.control import replica
 from honeyport.control import sessions
 from honeyport import errors
-from honeyport.policy import roster
+from honeyport.policy import reconnects
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
@@ -46,7 +46,7 @@
         self._node = node
         self._sessions = routers
         self._counters = counters
-        self._roster = roster.ReconnectSchedule()
+        self._roster = reconnects.ReconnectSchedule()
         self._calls: set[asyncio.Task[None]] = set()
         self._outcomes: dict[str, str] = {}  # of the latest call, by router
 
@@ -55,7 +55,7 @@
         while True:
             await asyncio.sleep(_PERIOD_S)
             if not self._node.leads:
-                self._roster = roster.ReconnectSchedule()
+                self._roster = reconnects.ReconnectSchedule()
                 self._outcomes.clear()
                 continue
             self._call_missing()
