--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -22,7 +22,7 @@
 from honeyport.policy import fingerprints
 from honeyport.policy import placement
 from honeyport.policy import repeats
-from honeyport.policy import silence
+from honeyport.policy import idle_timeouts
 from honeyport.policy import suspicion
 from honeyport.router import end_detector
 from honeyport.router import fleetstate
@@ -252,7 +252,7 @@
         """
         limits = None
         if exchange.may_repeat:
-            limits = silence.timeouts(exchange.match.route)
+            limits = idle_timeouts.timeouts(exchange.match.route)
         headers = exchange.headers(self._names, connection.instance)
         sent_at = asyncio.get_running_loop().time()
         single_attempt = attempt.Attempt(
