--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from honeyport.policy import repeats
+from honeyport.policy import retry_budgets
 
 _SERVICE = 'app'
 _WINDOW_S = 10.0
@@ -14,7 +14,7 @@
     '{count:d} gateways and an allowance of {ratio:g} and {extra:d} more'
 )
 def step_gateways(context, count, ratio, extra):
-    context.allowance = repeats.Allowance(ratio=ratio, extra=extra)
+    context.allowance = retry_budgets.Allowance(ratio=ratio, extra=extra)
     context.known = count
     context.budgets = make(context, count)
     context.requests = 0
@@ -132,7 +132,7 @@
 def make(context, count):
     """Return the budgets of some gateways that have just started."""
     return [
-        repeats.RetryBudgets(context.allowance, lambda: context.known)
+        retry_budgets.RetryBudgets(context.allowance, lambda: context.known)
         for _ in range(count)
     ]
 
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -17,7 +17,7 @@
 from honeyport.policy import addresses
 from honeyport.policy import cold
 from honeyport.policy import draining
-from honeyport.policy import repeats
+from honeyport.policy import retry_budgets
 from honeyport.router import end_detector
 from honeyport.router import fleetstate
 from honeyport.router import redirector
@@ -42,7 +42,7 @@
         settings: roles.Router,
         names: gateway_headers.HeaderNames,
         leaving: draining.DrainTimes,
-        allowance: repeats.Allowance,
+        allowance: retry_budgets.Allowance,
         counters: metrics.Metrics,
     ) -> None:
         self._settings = settings
@@ -68,7 +68,7 @@
             self._balancer,
             self._wishes,
             self._pool,
-            repeats.RetryBudgets(
+            retry_budgets.RetryBudgets(
                 allowance, lambda: len(self._state.serving_routers)
             ),
             self._witness,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -21,7 +21,7 @@
 from honeyport.gateway import silence_timeout
 from honeyport.policy import fingerprints
 from honeyport.policy import placement
-from honeyport.policy import repeats
+from honeyport.policy import retry_budgets
 from honeyport.policy import idle_timeouts
 from honeyport.policy import suspicion
 from honeyport.router import end_detector
@@ -56,7 +56,7 @@
         load_balancer: balancer.Balancer,
         signals: instance_signals.InstanceSignals,
         connection_pool: pool.Pool,
-        budgets: repeats.RetryBudgets,
+        budgets: retry_budgets.RetryBudgets,
         detector: end_detector.EndDetector,
         suspect_tracker: suspects.SuspectTracker,
         counters: metrics.Metrics,
