--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -77,7 +77,7 @@
         if leaving.strip().lower() not in _FALSE_VALUES:
             self._start_leaving(instance)
         retry_after_value = head.headers.get('Retry-After', '')
-        requested_s = retry_after.requested_s(head.status, retry_after_value)
+        asked_s = retry_after.requested_s(head.status, retry_after_value)
         if asked_s is not None:
             self._start_rest(instance, head.status, asked_s)
 
