--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -7,8 +7,8 @@
 
 from features.support import choices
 from features.support import simulation
-from honeyport.policy import prefixes
 from honeyport.policy import exclusions
+from honeyport.policy import prefixes
 
 _PER_DOMAIN = 4
 _GATEWAYS_PER_DOMAIN = 3
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -20,9 +20,9 @@
 from honeyport.gateway import routes
 from honeyport.gateway import silence_timeout
 from honeyport.policy import fingerprints
+from honeyport.policy import idle_timeouts
 from honeyport.policy import placement
 from honeyport.policy import retry_budgets
-from honeyport.policy import idle_timeouts
 from honeyport.policy import suspicion
 from honeyport.router import end_detector
 from honeyport.router import fleetstate
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -11,8 +11,8 @@
 from honeyport import errors
 from honeyport.gateway import attempt
 from honeyport.gateway import headers as gateway_headers
-from honeyport.policy import placement
 from honeyport.policy import backoffs
+from honeyport.policy import placement
 from honeyport.policy import retry_after
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
--- a/src/honeyport/operators.py
+++ b/src/honeyport/operators.py
@@ -163,8 +163,9 @@
         named = b''
     if len(named) != fingerprints.LENGTH_BYTES:
         raise errors.UsageInvalid(
-            f'{fingerprint!r} is no fingerprint: {2 * fingerprints.LENGTH_BYTES} '
-            'hexadecimal digits, as `fleet suspects` shows them'
+            f'{fingerprint!r} is no fingerprint: '
+            f'{2 * fingerprints.LENGTH_BYTES} hexadecimal digits, as '
+            '`fleet suspects` shows them'
         )
     request = pb.ClearRequest(request=named)
     answer = asyncio.run(
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/admission.py
@@ -15,9 +15,9 @@
 from honeyport.bundle import model
 from honeyport import errors
 from honeyport import exchange
+from honeyport.policy import backoffs
 from honeyport.policy import fingerprints
 from honeyport.policy import hashing
-from honeyport.policy import backoffs
 from honeyport.router import backend_state
 from honeyport.router import end_detector
 from honeyport.router import fleetstate
