--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -205,7 +205,9 @@
             logs.emit(events.LIST_REGAINED)
         self._is_readable = not missing
 
-    def _log_refusals(self, refusals: tuple[readings.RefusedEntry, ...]) -> None:
+    def _log_refusals(
+        self, refusals: tuple[readings.RefusedEntry, ...]
+    ) -> None:
         """Count the refused entries; log them when they change."""
         self._metrics.count('list_entries_refused', len(refusals))
         if refusals and refusals != self._refusals:
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -312,7 +312,9 @@
             if not router.silent and not router.has_view
         ]
         observations = [
-            exclusions.GatewayReport(router.member.domain, router.down, router.resting)
+            exclusions.GatewayReport(
+                router.member.domain, router.down, router.resting
+            )
             for router in gateways
         ]
         silent_domains = self._known_domains - {
