--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -189,7 +189,7 @@
     def _with_cold_period(self, instance: pb.Instance) -> pb.Instance:
         """Return an instance with the rest of its cold period, if any."""
         now = asyncio.get_running_loop().time()
-        remaining_s = self._cold_periods.remaining_s(instance.id, now)
+        left_s = self._cold_periods.remaining_s(instance.id, now)
         if not left_s:
             return instance
         message = pb.Instance()
