--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -410,7 +410,7 @@
             instance
             for instance in instances
             if instance.id not in self._unreachable
-            and not self._health.is_avoided(instance.id, now)
+            and not self._health.is_paused(instance.id, now)
         ]
         return self._signals.within_ramp_up(healthy, self._running)
 
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -33,7 +33,7 @@
 
         :param cold_s: remaining duration, in seconds
         """
-        self._cold_periods.note(instance, _now() + cold_s)
+        self._cold_periods.extend(instance, _now() + cold_s)
 
     def restart_cold_period(self, instance: placement.Instance) -> None:
         """Treat an instance as cold for the full period of its service."""
