--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -10,8 +10,8 @@
 from honeyport.bundle import model
 from honeyport import exchange
 from honeyport import local
-from honeyport.router import admission
 from honeyport.router import fleetstate
+from honeyport.router import steward
 from honeyport.router import suspects
 from honeyport.settings import roles
 from honeyport.telemetry import metrics
@@ -33,7 +33,7 @@
         state.apply_view(view)
         loop = asyncio.get_running_loop()
         state.renew_lease(loop.time(), 60_000)
-        made = admission.Steward(
+        made = steward.Steward(
             'r1',
             state,
             metrics.Metrics(),
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -9,7 +9,6 @@
 from honeyport.backend import engine
 from honeyport.backend import plain
 from honeyport import exchange
-from honeyport.router import admission
 from honeyport.router import chat
 from honeyport.router import claims
 from honeyport.router import discovery
@@ -20,6 +19,7 @@
 from honeyport.router import relay
 from honeyport.router import services
 from honeyport.router import session
+from honeyport.router import steward
 from honeyport.router import suspects
 from honeyport.settings import roles
 from honeyport import supervisor
@@ -48,7 +48,7 @@
         self._gate = edge.Gate()
         self._tracer = traces.create(settings.traces, settings.name)
         self._suspects = suspects.SuspectTracker(self._counters)
-        self._steward = admission.Steward(
+        self._steward = steward.Steward(
             settings.name,
             self._state,
             self._counters,
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -15,10 +15,10 @@
 from honeyport.policy import hashing
 from honeyport.policy import retries
 from honeyport.policy import suspicion
-from honeyport.router import admission
 from honeyport.router import fleetstate
 from honeyport.router import relay
 from honeyport.router import resume
+from honeyport.router import steward
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
@@ -46,7 +46,7 @@
         self,
         name: str,
         state: fleetstate.FleetState,
-        local: admission.Steward,
+        local: steward.Steward,
         links: relay.Links,
         counters: metrics.Metrics,
     ) -> None:
--- a/src/honeyport/router/admission.py
+++ b/src/honeyport/router/steward.py
@@ -18,10 +18,10 @@
 from honeyport.policy import backoffs
 from honeyport.policy import fingerprints
 from honeyport.policy import hashing
-from honeyport.router import backend_state
 from honeyport.router import end_detector
 from honeyport.router import fleetstate
 from honeyport.router import prefix_transfer
+from honeyport.router import slots
 from honeyport.router import suspects
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
@@ -57,7 +57,7 @@
         self._hurry = hurry
         self._suspects = held
         self._witness = end_detector.EndDetector(self._knock, held.record_end)
-        self._slots: dict[str, backend_state.Slot] = {}
+        self._slots: dict[str, slots.Slot] = {}
         self._reported: collections.deque[dict[str, int]] = collections.deque(
             maxlen=_REMEMBERED
         )
@@ -230,7 +230,7 @@
                 *(self._regard(slot) for slot in list(self._slots.values()))
             )
 
-    async def _regard(self, slot: backend_state.Slot) -> None:
+    async def _regard(self, slot: slots.Slot) -> None:
         """Make one slot ready if it may be, and admit what waits."""
         if slot.owned and self._state.is_leaving(slot.name):
             self._move_prefixes(slot)
@@ -239,7 +239,7 @@
             slot.ready = slot.owned and self._settled()
         self._admit_waiting(slot)
 
-    def _move_prefixes(self, slot: backend_state.Slot) -> None:
+    def _move_prefixes(self, slot: slots.Slot) -> None:
         """Move what is warm, once, when an engine leaves as planned."""
         if slot.kind == model.ENGINE and len(slot.hot):
             self._transfers.start(slot.name, slot.backend, slot.hot)
@@ -247,7 +247,7 @@
     def _settled(self) -> bool:
         return self._state.is_settled and self._state.lease_left > 0
 
-    def _owned(self) -> list[backend_state.Slot]:
+    def _owned(self) -> list[slots.Slot]:
         return [slot for slot in self._slots.values() if slot.owned]
 
     def _take(self, name: str, backend: model.Backend) -> None:
@@ -256,7 +256,7 @@
             kind = self._state.bundle.services[backend.service].kind
             client = registry.create(kind, name, backend.address)
             hot = prefix_transfer.HotChats(self._state.bundle.limits.hot_chats)
-            slot = backend_state.Slot(
+            slot = slots.Slot(
                 name, kind, backend, client, hot, limit=backend.slots
             )
             self._slots[name] = slot
@@ -265,7 +265,7 @@
         slot.probed = False
         logs.emit(events.ENGINE_TAKEN, backend=name)
 
-    def _leave(self, slot: backend_state.Slot) -> None:
+    def _leave(self, slot: slots.Slot) -> None:
         if slot.owned:
             slot.owned = False
             slot.ready = False
@@ -273,16 +273,14 @@
         while slot.queue.grant_next(granted=False):
             pass
 
-    def _drop(self, slot: backend_state.Slot) -> None:
+    def _drop(self, slot: slots.Slot) -> None:
         if self._slots.get(slot.name) is slot:
             del self._slots[slot.name]
             self._rests.retain(set(self._slots))
         if not slot.running:
             slot.client.close()
 
-    async def _admit(
-        self, call: exchange.Call, backend: str
-    ) -> backend_state.Slot:
+    async def _admit(self, call: exchange.Call, backend: str) -> slots.Slot:
         """Return the slot once the call may run there, counted in."""
         while True:
             self._state.check_lease()
@@ -302,9 +300,7 @@
             if await self._queue(slot, call):
                 return slot
 
-    async def _queue(
-        self, slot: backend_state.Slot, call: exchange.Call
-    ) -> bool:
+    async def _queue(self, slot: slots.Slot, call: exchange.Call) -> bool:
         """Wait for a turn, or refuse at once if none can come in time."""
         share = self._share(call.account)
         ahead = slot.queue.ahead(call.account)
@@ -332,7 +328,7 @@
         found = self._state.bundle.accounts.get(account)
         return found.share if found else 1.0
 
-    def _has_room(self, slot: backend_state.Slot) -> bool:
+    def _has_room(self, slot: slots.Slot) -> bool:
         if not slot.ready or self._state.lease_left <= 0:
             return False
         now = asyncio.get_running_loop().time()
@@ -341,7 +337,7 @@
         foreign = max(slot.foreign, self._state.residual(slot.name))
         return slot.running + foreign < self._limit(slot)
 
-    def _limit(self, slot: backend_state.Slot) -> int:
+    def _limit(self, slot: slots.Slot) -> int:
         """The most requests that may run on a backend server now."""
         service = slot.backend.service
         most = max(1, int(min(slot.limit, slot.backend.slots)))
@@ -372,19 +368,19 @@
             ours = min(ours, reported.get(service, 0))
         return self._state.others(service) + ours
 
-    def _release(self, slot: backend_state.Slot, seconds: float) -> None:
+    def _release(self, slot: slots.Slot, seconds: float) -> None:
         slot.running -= 1
         slot.service_s += _SMOOTHING * (seconds - slot.service_s)
         self._admit_waiting(slot)
 
-    def _admit_waiting(self, slot: backend_state.Slot) -> None:
+    def _admit_waiting(self, slot: slots.Slot) -> None:
         while len(slot.queue) and self._has_room(slot):
             slot.running += 1
             if not slot.queue.grant_next(granted=True):
                 slot.running -= 1
                 return
 
-    def _answered(self, slot: backend_state.Slot) -> None:
+    def _answered(self, slot: slots.Slot) -> None:
         if slot.down:
             logs.emit(events.BACKEND_UP, backend=slot.name)
         slot.failures = 0
@@ -393,7 +389,7 @@
 
     def _failed(
         self,
-        slot: backend_state.Slot,
+        slot: slots.Slot,
         error: errors.HoneyportError,
         request: str,
     ) -> None:
@@ -410,14 +406,14 @@
         elif isinstance(error, errors.NotSent | errors.BackendLost):
             self._unreachable(slot)
 
-    def _heed(self, slot: backend_state.Slot, head: exchange.Head) -> None:
+    def _heed(self, slot: slots.Slot, head: exchange.Head) -> None:
         """Take what the head of an answer says of its backend server."""
         if head.retry_after_s is not None:
             self._rest(slot, head.retry_after_s)
         else:
             self._answered(slot)
 
-    def _rest(self, slot: backend_state.Slot, asked_s: float) -> None:
+    def _rest(self, slot: slots.Slot, asked_s: float) -> None:
         """Send a backend server nothing for as long as it asks."""
         loop = asyncio.get_running_loop()
         rest = self._rests.request(slot.name, asked_s, loop.time())
@@ -432,7 +428,7 @@
         left_s = self._rests.remaining_s(slot.name, loop.time())
         loop.call_later(left_s, self._admit_waiting, slot)
 
-    async def _knock(self, slot: backend_state.Slot) -> None:
+    async def _knock(self, slot: slots.Slot) -> None:
         """Connect to a backend server for the witness.
 
         :raises errors.NotSent: if it does not answer
@@ -444,14 +440,14 @@
         except (ValueError, KeyError):
             return  # it answers, if not well
 
-    def _unreachable(self, slot: backend_state.Slot) -> None:
+    def _unreachable(self, slot: slots.Slot) -> None:
         slot.failures += 1
-        if slot.failures == backend_state.DOWN_AFTER:
+        if slot.failures == slots.DOWN_AFTER:
             logs.emit(events.BACKEND_DOWN, backend=slot.name)
             self._hurry()
 
     def _part(
-        self, slot: backend_state.Slot, call: exchange.Call, started: float
+        self, slot: slots.Slot, call: exchange.Call, started: float
     ) -> None:
         """See to an answer whose caller has gone; the slot stays taken."""
         task = asyncio.create_task(self._abandon(slot, call, started))
@@ -459,7 +455,7 @@
         task.add_done_callback(self._parting.discard)
 
     async def _abandon(
-        self, slot: backend_state.Slot, call: exchange.Call, started: float
+        self, slot: slots.Slot, call: exchange.Call, started: float
     ) -> None:
         """Have the engine stop, at once or after the time to come back."""
         if call.linger:
@@ -469,7 +465,7 @@
         loop = asyncio.get_running_loop()
         self._release(slot, loop.time() - started)
 
-    async def _probe(self, slot: backend_state.Slot) -> None:
+    async def _probe(self, slot: slots.Slot) -> None:
         """Ask for the load; a former steward's requests show in it."""
         try:
             load = await slot.client.probe()
@@ -485,7 +481,7 @@
         else:
             slot.foreign = min(slot.foreign, load.running)
 
-    async def _correct(self, slot: backend_state.Slot) -> None:
+    async def _correct(self, slot: slots.Slot) -> None:
         """Take in which prefixes the engine has dropped."""
         client = typing.cast(engine.EngineClient, slot.client)
         with contextlib.suppress(errors.HoneyportError, ValueError, KeyError):
