--- a/src/honeyport/control/deltas.py
+++ b/src/honeyport/control/deltas.py
@@ -1,8 +1,8 @@
-"""Numbered states of a mapping, and the messages that lead to the latest.
+"""Numbered states of a mapping, and delta messages to the latest one.
 
-The leader tells hundreds of routers the same; most have the state before the
-latest one. What changed is found out, and the message about it made, once for
-all that have the same state.
+The leader sends the same data to all routers, and most of them have the state
+before the latest one. A delta and its message are built once for all routers
+that have the same state.
 """
 
 import collections
@@ -17,9 +17,11 @@
 
 @attrs.frozen
 class Change(typing.Generic[V]):
-    """What leads from one state to another.
+    """The difference between two states.
 
-    :ivar base: the number of the former; 0 if this is the whole state
+    :ivar base: the number of the older one; 0 if this is the whole state
+    :ivar put: keys that are new or whose values changed
+    :ivar removed: keys that are gone
     """
 
     base: int
@@ -30,17 +32,20 @@
 class History(typing.Generic[V, M]):
     """The latest states of a mapping.
 
-    :param kept: how many states a change can start from
-    :param make: makes the message about a change
+    :param max_states: the number of states that are kept as the base of a
+        change
+    :param make_message: returns the message that carries a change
     """
 
     def __init__(
-        self, kept: int, make: collections.abc.Callable[[Change[V]], M]
+        self,
+        max_states: int,
+        make_message: collections.abc.Callable[[Change[V]], M],
     ) -> None:
-        self._most = kept
-        self._make = make
+        self._max_states = max_states
+        self._make_message = make_message
         self._number = 0
-        self._kept: collections.OrderedDict[int, dict[str, V]] = (
+        self._states: collections.OrderedDict[int, dict[str, V]] = (
             collections.OrderedDict()
         )
         self._messages: dict[int, M] = {}
@@ -52,50 +57,50 @@
 
     @property
     def latest(self) -> dict[str, V]:
-        """The latest state; not to be changed."""
-        return self._kept.get(self._number, {})
+        """The latest state, read-only."""
+        return self._states.get(self._number, {})
 
     def has(self, number: int) -> bool:
-        """Whether a change can start from a state."""
-        return number in self._kept
+        """Whether a state is kept, so that a change can be based on it."""
+        return number in self._states
 
-    def append(self, number: int, found: dict[str, V]) -> None:
-        """Take a new state.
+    def append(self, number: int, state: dict[str, V]) -> None:
+        """Add a new state and drop the oldest one if too many are kept.
 
-        :param number: above those of all states before
+        :param number: above the numbers of all states before
         """
         self._number = number
-        self._kept[number] = found
-        if len(self._kept) > self._most:
-            self._kept.popitem(last=False)
+        self._states[number] = state
+        if len(self._states) > self._max_states:
+            self._states.popitem(last=False)
         self._messages.clear()
 
     def clear(self) -> None:
-        """Forget all states: no change can start from them any more."""
-        self._kept.clear()
+        """Drop all states, so that the next message has the whole state."""
+        self._states.clear()
         self._messages.clear()
 
     def message(self, base: int) -> M:
-        """Return what leads to the latest state.
+        """Return the message that leads to the latest state.
 
-        :param base: the number of the state before; the whole state is
-            told if it is not known any more
+        :param base: the number of the state to start from; if it is no longer
+            kept, the message has the whole state
         """
-        if base not in self._kept:
+        if base not in self._states:
             base = 0
         if base not in self._messages:
-            self._messages[base] = self._make(self._compare(base))
+            self._messages[base] = self._make_message(self._compare(base))
         return self._messages[base]
 
     def _compare(self, base: int) -> Change[V]:
         latest = self.latest
         if not base:
             return Change(0, latest)
-        before = self._kept[base]
+        old = self._states[base]
         put = {
             key: value
             for key, value in latest.items()
-            if before.get(key) != value
+            if old.get(key) != value
         }
-        removed = tuple(key for key in before if key not in latest)
+        removed = tuple(key for key in old if key not in latest)
         return Change(base, put, removed)
--- a/src/honeyport/control/instance_lists.py
+++ b/src/honeyport/control/instance_lists.py
@@ -1,34 +1,34 @@
-"""The lists of instances of one leadership, and how routers get them."""
+"""The lists of instances of one term, and the messages that carry them."""
 
 from honeyport.control import deltas
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import listing
 
-# Lists that a message can start from. Platforms change their list at most at
-# each reading (0.9 s): a router may lag 14 s and still get what changed alone.
-_KEPT = 16
+# Lists that are kept as the base of a change. A new one comes at most with
+# each reading (0.9 s): a router that lags by 14 s still gets a change only.
+_MAX_KEPT_LISTS = 16
 
 
 class InstanceLists:
-    """The latest lists; soft state of the leader.
+    """The latest lists, kept in the leader's memory.
 
-    A list that was read is published at the next tick: what goes out between
-    two ticks names instances by their indexes in one and the same list.
+    A new list is published at the next tick, so that all messages of a tick
+    refer to instances by their indexes in the same list.
     """
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
-        """Forget all lists: this replica leads no longer."""
+        """Remove all lists, at the end of a term."""
         self._history: deltas.History[pb.Instance, pb.InstanceList] = (
-            deltas.History(_KEPT, self._make)
+            deltas.History(_MAX_KEPT_LISTS, self._make_message)
         )
         self._latest: list[pb.Instance] = []
-        self._taken: tuple[int, list[pb.Instance]] | None = None
+        self._unpublished: tuple[int, list[pb.Instance]] | None = None
         self._digests = b''
-        # To what another leader sent: by its number and its digests.
-        self._from_others: dict[tuple[int, bytes], pb.InstanceList] = {}
+        # Changes to a list of another leader, by its number and digests.
+        self._changes_by_digests: dict[tuple[int, bytes], pb.InstanceList] = {}
         self._indexes: dict[str, int] = {}
         self._domains: dict[str, str] = {}
 
@@ -39,7 +39,7 @@
 
     @property
     def latest(self) -> list[pb.Instance]:
-        """The latest list; not to be changed."""
+        """The latest list, read-only."""
         return self._latest
 
     @property
@@ -53,65 +53,72 @@
         return self._domains
 
     def replace(self, number: int, latest: list[pb.Instance]) -> None:
-        """Take a new list, by identifier; its number is above all others."""
-        self._taken = (number, latest)
+        """Set the list to publish at the next tick.
+
+        :param number: above the numbers of all lists before
+        :param latest: sorted by identifier
+        """
+        self._unpublished = (number, latest)
 
     def publish(self) -> None:
-        """Make the list that was taken last the latest one.
+        """Make the list of the last :meth:`replace` the latest one.
 
-        What did not change is shared with the lists before: 3,000 messages
-        are a megabyte.
+        Unchanged instances are shared with the lists before, to save memory.
         """
-        if self._taken is None:
+        if self._unpublished is None:
             return
-        number, latest = self._taken
-        self._taken = None
-        before = self._history.latest
+        number, latest = self._unpublished
+        self._unpublished = None
+        previous = self._history.latest
         self._latest = [
-            known if (known := before.get(one.id)) == one else one
-            for one in latest
+            old if (old := previous.get(instance.id)) == instance else instance
+            for instance in latest
         ]
-        by_id = {one.id: one for one in self._latest}
+        by_id = {instance.id: instance for instance in self._latest}
         self._history.append(number, by_id)
         self._digests = b''
-        self._from_others.clear()
-        self._domains = {one.id: one.domain for one in self._latest}
+        self._changes_by_digests.clear()
+        self._domains = {
+            instance.id: instance.domain for instance in self._latest
+        }
         self._indexes = {
-            one.id: index for index, one in enumerate(self._latest)
+            instance.id: index for index, instance in enumerate(self._latest)
         }
 
     def message(self, number: int, digests: bytes) -> pb.InstanceList:
-        """Return what brings a router to the latest list.
+        """Return the message that updates a router to the latest list.
 
         :param number: of the list that the router has; 0 if it has none
-        :param digests: of that list, where another leader may have sent it
+        :param digests: of that list, in case another leader sent it
         """
         if self._history.has(number) or not (number and digests):
             return self._history.message(number)
         key = (number, digests)
-        if key not in self._from_others:
-            change = self._parts_that_differ(digests)
-            self._from_others[key] = self._list_from(number, change)
-        return self._from_others[key]
+        if key not in self._changes_by_digests:
+            change = self._pack_difference(digests)
+            self._changes_by_digests[key] = self._list_from(number, change)
+        return self._changes_by_digests[key]
 
-    def _make(self, change: deltas.Change[pb.Instance]) -> pb.InstanceList:
-        packed = listing.pack(change.put.values(), change.removed)
-        return self._list_from(change.base, packed)
+    def _make_message(
+        self, change: deltas.Change[pb.Instance]
+    ) -> pb.InstanceList:
+        packed_change = listing.pack(change.put.values(), change.removed)
+        return self._list_from(change.base, packed_change)
 
     def _list_from(self, base: int, change: bytes) -> pb.InstanceList:
         return pb.InstanceList(number=self.number, base=base, change=change)
 
-    def _parts_that_differ(self, digests: bytes) -> bytes:
-        """Return the parts that a router has not, and what is cold.
+    def _pack_difference(self, digests: bytes) -> bytes:
+        """Return the parts that differ from a router's, and cold instances.
 
-        As a rule all routers had the same list from the former leader.
+        :param digests: of the router's list
         """
         if not self._digests:
             self._digests = listing.digests(self._latest)
         parts = set(listing.differing(self._digests, digests))
-        put = [
-            one
-            for one in self._latest
-            if one.cold_ms or listing.part(one.id) in parts
+        instances = [
+            instance
+            for instance in self._latest
+            if instance.cold_ms or listing.part(instance.id) in parts
         ]
-        return listing.pack(put, parts=sorted(parts))
+        return listing.pack(instances, parts=sorted(parts))
--- a/src/honeyport/control/router_updates.py
+++ b/src/honeyport/control/router_updates.py
@@ -1,8 +1,7 @@
-"""What each router has to be told, worked out when its stream takes it.
+"""Updates of replicated data for the routers' streams.
 
-The load this answers: hundreds of routers, some on links of 5 Mbit/s, while
-the list of instances and the list of routers change at every tick. Whatever a
-stream does not take at once is not kept for it: it gets the newest state next.
+An update is built when the stream is ready to send. Updates are not queued:
+a slow stream gets the difference to the latest state the next time.
 """
 
 import asyncio
@@ -18,31 +17,31 @@
 from honeyport.policy import pacing
 from honeyport.wire import honeyport_pb2 as pb
 
-# Within this a router finds a new leader, in seconds; before, a list of
-# routers would name too few of them.
+# Time in which routers find a new leader, in seconds; before, the list of
+# routers would be incomplete.
 _REATTACH_S = 0.4
-# Between two lists of routers, in seconds: 300 that come back within a second
-# change it at each tick, and callers keep what they got for a second or more.
-_PRESENCE_S = 0.2
-# What is sent without waiting for its turn, in bytes: 300 of these are 0.6 MB.
-_SMALL_BYTES = 2048
-# Lists of routers that a change can start from: 6 s.
-_KEPT_PRESENCES = 32
+# Minimum interval between two lists of routers, in seconds: many routers may
+# attach within one second.
+_PRESENCE_INTERVAL_S = 0.2
+# Up to this size, in bytes, an update is sent without rate limit.
+_MAX_UNPACED_BYTES = 2048
+# Lists of routers that are kept as the base of a change: 6 s.
+_MAX_KEPT_PRESENCES = 32
 
 
 @attrs.frozen(kw_only=True)
 class SyncState:
-    """What a router knows, or what there is to know.
+    """The versions of the data that a router has, or of the latest data.
 
     :ivar view: the number of the view; 0 before the first
     :ivar presence: the number of the list of routers that callers may be
         sent to; 0 while too few have come back
-    :ivar replicas: where the control group listens
+    :ivar replicas: the addresses of the control replicas
     :ivar instances: the number of the list of instances
-    :ivar version: of the accepted configuration
-    :ivar suspects: the number of the list of requests that are held back
-    :ivar evacuated: the failure domains that are evacuated; ``None`` if
-        nothing was said of them yet
+    :ivar version: the version of the accepted configuration
+    :ivar suspects: the number of the list of suspect requests
+    :ivar evacuated: the evacuated failure domains; ``None`` if none were sent
+        yet
     """
 
     view: int = 0
@@ -56,18 +55,19 @@
 
 @attrs.frozen
 class _Presence:
-    """The routers that callers may be sent to, and those that leave."""
+    """The routers that callers may be sent to, and those shutting down."""
 
     members: dict[str, pb.Member]
     leaving: tuple[str, ...]
 
 
 class RouterUpdates:
-    """The news of one leadership.
+    """The updates of one term.
 
+    :param routers: the routers of the term
     :param lists: the lists of instances
-    :param held: the requests that are held back
-    :param pace: of what is large
+    :param suspect_record: the suspect requests
+    :param pace: the rate limit of large updates
     """
 
     def __init__(
@@ -75,150 +75,160 @@
         node: replica.Replica,
         routers: fleet.Fleet,
         lists: instance_lists.InstanceLists,
-        held: suspects.Suspects,
+        suspect_record: suspects.Suspects,
         pace: pacing.TokenBucket,
     ) -> None:
         self._node = node
         self._fleet = routers
         self._lists = lists
-        self._suspects = held
+        self._suspects = suspect_record
         self._pace = pace
         self._versions = versions.BundleVersions()
         self._accepted = node.machine.accepted
-        self._presence = _Presence({}, ())
+        self._latest_presence = _Presence({}, ())
         self._presences: deltas.History[pb.Member, pb.Presence] = (
-            deltas.History(_KEPT_PRESENCES, self._make_presence)
+            deltas.History(_MAX_KEPT_PRESENCES, self._make_presence)
         )
-        self._presence_due = float('-inf')
+        self._next_presence_at = float('-inf')
         self._latest = SyncState()
 
     @property
     def latest(self) -> SyncState:
-        """What there is to tell, as of the latest look."""
+        """The versions of the latest data, as of the last refresh."""
         return self._latest
 
     def refresh(self) -> None:
-        """Find out what there is to tell, once for all streams of a tick."""
+        """Update :attr:`latest`, once a tick for all streams."""
         now = asyncio.get_running_loop().time()
-        # As of now, like all else: one that is committed between two looks
-        # would be sent under the number of the one before.
+        # Read once: a later version must not be sent with this one's number.
         self._accepted = self._node.machine.accepted
         self._versions.add(self._accepted)
-        self._look_for_routers(now)
-        # Before, it would name too few of the routers.
-        is_named = now >= self._node.leader_since + _REATTACH_S
-        found = SyncState(
+        self._refresh_presence(now)
+        # Before, the list of routers would be incomplete.
+        is_presence_complete = now >= self._node.leader_since + _REATTACH_S
+        latest = SyncState(
             view=self._fleet.view.number if self._fleet.has_view else 0,
-            presence=self._presences.number if is_named else 0,
+            presence=self._presences.number if is_presence_complete else 0,
             replicas=tuple(self._node.member_addresses),
             instances=self._lists.number,
             version=self._accepted.version,
             suspects=self._suspects.number,
             evacuated=self._node.machine.evacuated,
         )
-        if found != self._latest:
-            self._latest = found
+        if latest != self._latest:
+            self._latest = latest
 
     def initial_state(self, hello: pb.Hello) -> SyncState:
-        """Return what a router knows that has just attached."""
-        # Where neither side holds a request back, there is nothing to tell.
-        same = not hello.suspects and not self._suspects.reported
+        """Return the versions that a newly attached router has."""
+        # If both sides have no suspects, there is nothing to send.
+        have_no_suspects = not hello.suspects and not self._suspects.reported
         return SyncState(
-            version=hello.config_version if self._knows(hello) else 0,
-            suspects=self._suspects.number if same else 0,
+            version=hello.config_version
+            if self._has_base_version(hello)
+            else 0,
+            suspects=self._suspects.number if have_no_suspects else 0,
             instances=hello.instances,
         )
 
     def items_since(
-        self, told: SyncState, hello: pb.Hello
+        self, router_state: SyncState, hello: pb.Hello
     ) -> tuple[list[pb.ControlItem], SyncState]:
-        """Return what brings a router from what it knows to the latest.
+        """Return the items that update a router to the latest state.
 
-        What holds requests or instances back stands first: with a
-        configuration a gateway begins to serve. What is large waits for its
-        turn.
+        Suspects and evacuations come first, since a gateway begins to serve
+        as soon as it has a configuration. Large items are subject to the rate
+        limit, and left out if it is exceeded.
 
-        :param hello: how the router introduced itself
-        :returns: the items, and what the router knows with them
+        :param router_state: what the router has
+        :param hello: the router's first message
+        :returns: the items, and what the router has after them
         """
-        items = self._small_items(told, hello)
-        # Measured before it is copied into items: a stream that waits for its
-        # turn asks again at every tick.
-        large = self._large(told, hello)
+        items = self._small_items(router_state, hello)
+        # Measured before it is copied into items: a stream that exceeds the
+        # rate limit tries again at every tick.
+        large = self._large_messages(router_state, hello)
         size = sum(message.ByteSize() for message in large.values())
         now = asyncio.get_running_loop().time()
-        if size <= _SMALL_BYTES or self._pace.may_send(size, now):
+        if size <= _MAX_UNPACED_BYTES or self._pace.may_send(size, now):
             items += [
                 pb.ControlItem(**{kind: message})
                 for kind, message in large.items()
             ]
             return items, self._latest
-        rest = attrs.evolve(
-            self._latest, instances=told.instances, version=told.version
+        sent_state = attrs.evolve(
+            self._latest,
+            instances=router_state.instances,
+            version=router_state.version,
         )
-        return items, rest
+        return items, sent_state
 
     def _small_items(
-        self, told: SyncState, hello: pb.Hello
+        self, router_state: SyncState, hello: pb.Hello
     ) -> list[pb.ControlItem]:
-        news = self._latest
+        latest = self._latest
         items = []
-        if news.suspects != told.suspects:
+        if latest.suspects != router_state.suspects:
             message = self._suspects.message()
             items.append(pb.ControlItem(suspects=message))
-        if news.evacuated != told.evacuated:
-            domains = sorted(news.evacuated or ())
+        if latest.evacuated != router_state.evacuated:
+            domains = sorted(latest.evacuated or ())
             message = pb.Evacuations(domains=domains)
             items.append(pb.ControlItem(evacuations=message))
-        if news.view and news.view != told.view and not hello.no_view:
+        if (
+            latest.view
+            and latest.view != router_state.view
+            and not hello.no_view
+        ):
             items.append(pb.ControlItem(view=self._fleet.view))
-        if news.presence and news.presence != told.presence:
-            message = self._presences.message(told.presence)
+        if latest.presence and latest.presence != router_state.presence:
+            message = self._presences.message(router_state.presence)
             items.append(pb.ControlItem(presence=message))
-        if news.replicas != told.replicas:
-            replicas = pb.Replicas(addresses=news.replicas)
+        if latest.replicas != router_state.replicas:
+            replicas = pb.Replicas(addresses=latest.replicas)
             items.append(pb.ControlItem(replicas=replicas))
         return items
 
-    def _large(
-        self, told: SyncState, hello: pb.Hello
+    def _large_messages(
+        self, router_state: SyncState, hello: pb.Hello
     ) -> dict[str, pb.InstanceList | pb.Config]:
-        """Return the messages that may be large, by the kind of item."""
-        news = self._latest
-        found: dict[str, pb.InstanceList | pb.Config] = {}
-        if news.instances and news.instances != told.instances:
-            found['instances'] = self._lists.message(
-                told.instances, hello.instances_digests
+        """Return the messages that may be large, by item field name."""
+        latest = self._latest
+        messages: dict[str, pb.InstanceList | pb.Config] = {}
+        if latest.instances and latest.instances != router_state.instances:
+            messages['instances'] = self._lists.message(
+                router_state.instances, hello.instances_digests
             )
-        if news.version != told.version:
-            found['config'] = self._versions.message(
-                told.version, self._accepted
+        if latest.version != router_state.version:
+            messages['config'] = self._versions.message(
+                router_state.version, self._accepted
             )
-        return found
+        return messages
 
-    def _knows(self, hello: pb.Hello) -> bool:
-        """Whether the router holds a version that deltas can start from."""
+    def _has_base_version(self, hello: pb.Hello) -> bool:
+        """Whether the router has a version that a delta can be based on."""
         history = self._node.machine.history
-        same = history.get(hello.config_version) == hello.config_digest
-        return same and self._versions.has(hello.config_version)
+        has_same_digest = (
+            history.get(hello.config_version) == hello.config_digest
+        )
+        return has_same_digest and self._versions.has(hello.config_version)
 
-    def _look_for_routers(self, now: float) -> None:
-        if now < self._presence_due:
+    def _refresh_presence(self, now: float) -> None:
+        if now < self._next_presence_at:
             return
-        found = _Presence(
+        presence = _Presence(
             self._fleet.reachable_members(), self._fleet.leaving_names()
         )
-        if self._presences.number and found == self._presence:
+        if self._presences.number and presence == self._latest_presence:
             return
         if self._presences.number:
-            self._presence_due = now + _PRESENCE_S
-        self._presence = found
-        self._presences.append(self._presences.number + 1, found.members)
+            self._next_presence_at = now + _PRESENCE_INTERVAL_S
+        self._latest_presence = presence
+        self._presences.append(self._presences.number + 1, presence.members)
 
     def _make_presence(self, change: deltas.Change[pb.Member]) -> pb.Presence:
         return pb.Presence(
             members=change.put.values(),
-            leaving=self._presence.leaving,
+            leaving=self._latest_presence.leaving,
             is_change=change.base > 0,
             removed=change.removed,
         )
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -1,10 +1,10 @@
-"""The leader's record of requests under which instances ended.
+"""The leader's record of requests during which instances crashed.
 
-The decisions are in :mod:`honeyport.policy.suspicion`. Requests under several
-ends are part of the replicated state, so that they are refused after a change
-of leader and after a loss of all processes, too. Gateways are told at once and
-the log a moment later: a slow disk must not hold up the word. Those under one
-end are told anew by whoever saw it, to each new leader.
+The decisions are made in :mod:`honeyport.policy.suspicion`. Requests with
+several crashes ("ends") are part of the replicated state, so that they are
+still refused after a change of leader or a restart of all processes. They are
+sent to the gateways before they are committed, so that a slow disk does not
+delay the message. Gateways report those with one end to each new leader.
 """
 
 import asyncio
@@ -19,171 +19,181 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# Between two looks at whether the log has what is known, in seconds: far
-# below the seconds in which an instance that ended is back.
-_RECORD_S = 0.1
-# For how long a message to the gateways is used again, in seconds: a tick. The
-# times in it are as much too early.
-_MESSAGE_S = 0.05
+# Pause between two checks for uncommitted changes, in seconds: far below the
+# time that an instance takes to restart.
+_PERSIST_INTERVAL_S = 0.1
+# For how long a message to the gateways is reused, in seconds: one tick. The
+# remaining times in it are inaccurate by up to as much.
+_MESSAGE_REUSE_S = 0.05
 
-Alive = collections.abc.Callable[[str, str], bool]
+LeaseCheck = collections.abc.Callable[[str, str], bool]
 
 
 class Suspects:
     """The record of one replica, valid while it leads.
 
-    :param alive: tells whether a router's incarnation holds a lease
+    :param has_lease: returns whether an incarnation of a router holds a lease
+    :param counters: the process's metrics
     """
 
     def __init__(
         self,
         node: replica.Replica,
-        alive: Alive,
+        has_lease: LeaseCheck,
         counters: metrics.Metrics,
     ) -> None:
         self._node = node
-        self._alive = alive
+        self._has_lease = has_lease
         self._metrics = counters
         self._register = suspicion.EndRegister({}, 0.0)
         self._number = 0
-        self._shown: list[suspicion.Suspect] = []
+        self._reported: list[suspicion.Suspect] = []
         self._barred: frozenset[str] = frozenset()
         self._is_unsaved = False
         self._is_stale = False
-        self._due = float('inf')  # when the next one may be tried again
+        # Loop time at which the next request is no longer barred.
+        self._next_unbar_at = float('inf')
         self._message = pb.Suspects()
-        self._message_until = float('-inf')
+        self._message_expires_at = float('-inf')
         counters.gauge('suspects', lambda: len(self._register))
         counters.gauge('requests_barred', lambda: len(self._barred))
 
     @property
     def number(self) -> int:
-        """Grows with every change that gateways are told of; never 0."""
+        """The number of changes to what gateways are sent; 0 before a term."""
         return self._number
 
     @property
     def reported(self) -> list[suspicion.Suspect]:
-        """The requests that gateways are told of."""
-        return self._shown
+        """The requests that gateways are sent, with several ends each."""
+        return self._reported
 
     def start_term(self) -> None:
-        """Begin a leadership with what the log has."""
-        noted = self._node.machine.suspects
-        self._register = suspicion.EndRegister(noted, _now())
+        """Load the committed record, at the start of a term."""
+        committed = self._node.machine.suspects
+        self._register = suspicion.EndRegister(committed, _now())
         self._is_unsaved = False
-        self._show()
+        self._update_reported()
 
     def handle_item(
         self, router: pb.Member, item: pb.RouterItem
     ) -> pb.ControlItem | None:
-        """Take what a router says of requests; return an answer, if due."""
+        """Handle a router's message about suspects.
+
+        :returns: the answer, if the kind of message has one
+        """
         kind = item.WhichOneof('item')
         if kind == 'ends':
-            self._take_ends(router, item.ends)
+            self._record_ends(router, item.ends)
         elif kind == 'acquittal':
-            named = [one.hex() for one in item.acquittal.requests]
-            self.clear(named, by=router.router)
+            fingerprints = [
+                request.hex() for request in item.acquittal.requests
+            ]
+            self.clear(fingerprints, by=router.router)
         elif kind == 'permit':
-            return pb.ControlItem(permit=self._answer(router, item.permit))
+            return pb.ControlItem(
+                permit=self._answer_permit_request(router, item.permit)
+            )
         elif kind == 'release':
-            named = item.release.request.hex()
-            self._register.release_permit(named, _holder(router))
+            fingerprint = item.release.request.hex()
+            self._register.release_permit(fingerprint, _holder(router))
         return None
 
-    def _take_ends(self, router: pb.Member, ends: pb.Ends) -> None:
-        """Take the ends that a gateway saw."""
+    def _record_ends(self, router: pb.Member, ends: pb.Ends) -> None:
+        """Record the ends that a gateway reports."""
         for end in ends.ends:
-            at = _now() - end.age_ms / 1000
+            ended_at = _now() - end.age_ms / 1000
             for request in end.requests:
-                self._count(request.hex(), end.backend, at, router.router)
+                self._record_end(
+                    request.hex(), end.backend, ended_at, router.router
+                )
 
     def clear(self, requests: collections.abc.Iterable[str], by: str) -> bool:
-        """Forget requests; return whether one of them was known.
+        """Remove requests from the record.
 
-        :param by: who says that they are harmless, for the log
+        :param requests: fingerprints, in hexadecimal
+        :param by: the router or operator that cleared them, for the log
+        :returns: whether at least one of them was in the record
         """
-        found = [one for one in requests if self._register.clear(one)]
-        if found:
-            logs.emit(events.SUSPECTS_CLEARED, fingerprints=found, by=by)
-            self._metrics.count('suspects_cleared', len(found))
+        cleared = [
+            request for request in requests if self._register.clear(request)
+        ]
+        if cleared:
+            logs.emit(events.SUSPECTS_CLEARED, fingerprints=cleared, by=by)
+            self._metrics.count('suspects_cleared', len(cleared))
             self._is_unsaved = True
-            self._show()
-        return bool(found)
+            self._update_reported()
+        return bool(cleared)
 
-    def _answer(
-        self, router: pb.Member, ask: pb.PermitRequest
+    def _answer_permit_request(
+        self, router: pb.Member, request: pb.PermitRequest
     ) -> pb.PermitAnswer:
-        """Say whether a gateway may run a request now."""
-        request = ask.request.hex()
-        verdict = self._register.request_permit(
-            request, _holder(router), _now(), self._is_alive
+        """Grant or refuse a gateway the permit to run a request."""
+        fingerprint = request.request.hex()
+        decision = self._register.request_permit(
+            fingerprint, _holder(router), _now(), self._holder_has_lease
         )
         logs.emit(
-            events.PERMIT_GIVEN if verdict.granted else events.PERMIT_REFUSED,
-            fingerprint=request,
+            events.PERMIT_GIVEN if decision.granted else events.PERMIT_REFUSED,
+            fingerprint=fingerprint,
             router=router.router,
-            back_s=verdict.retry_after_s,
+            back_s=decision.retry_after_s,
         )
         return pb.PermitAnswer(
-            id=ask.id,
-            granted=verdict.granted,
-            back_ms=_milliseconds(verdict.retry_after_s or 0.0),
-            barred=verdict.barred,
+            id=request.id,
+            granted=decision.granted,
+            back_ms=_milliseconds(decision.retry_after_s or 0.0),
+            barred=decision.barred,
         )
 
     def refresh(self) -> None:
-        """Note what gateways have to be told; called once a tick.
-
-        With 512 requests that are refused, a look at all of them at each tick
-        took 6 % of a core, for as long as they were.
-        """
-        if self._is_stale or _now() >= self._due:
-            self._show()
+        """Update :attr:`reported` if it may have changed, once a tick."""
+        if self._is_stale or _now() >= self._next_unbar_at:
+            self._update_reported()
 
     def message(self) -> pb.Suspects:
-        """Return what gateways are told, all of it.
+        """Return the message with all reported requests.
 
-        Made once for all streams of a tick: for 512 requests it takes 2.3 ms
-        (processor time, mean of 20).
+        It is built at most once a tick and shared by all streams.
         """
         now = _now()
-        same = self._message.number == self._number
-        if same and now < self._message_until:
+        is_current = self._message.number == self._number
+        if is_current and now < self._message_expires_at:
             return self._message
         self._message = self._to_message(now)
-        self._message_until = now + _MESSAGE_S
+        self._message_expires_at = now + _MESSAGE_REUSE_S
         return self._message
 
     def _to_message(self, now: float) -> pb.Suspects:
         message = pb.Suspects(number=self._number)
-        for one in self._shown:
+        for suspect in self._reported:
             message.suspects.add(
-                request=bytes.fromhex(one.request),
-                ends=one.ends,
-                since_ms=max(0, int((now - one.first_end_at) * 1000)),
-                barred=one.is_barred(now),
-                back_ms=_milliseconds(one.barred_until - now),
+                request=bytes.fromhex(suspect.request),
+                ends=suspect.ends,
+                since_ms=max(0, int((now - suspect.first_end_at) * 1000)),
+                barred=suspect.is_barred(now),
+                back_ms=_milliseconds(suspect.barred_until - now),
             )
         return message
 
     def records(self) -> list[pb.SuspectRecord]:
-        """Return the instances that ended under each that is shown."""
-        return machine.suspect_records(self._ended())
+        """Return the ended instances of each reported request."""
+        return machine.suspect_records(self._ended_instances())
 
     async def persist(self) -> None:
-        """Write requests under several ends to the log while we lead."""
+        """Commit requests with several ends while leading, until cancelled."""
         while True:
-            await asyncio.sleep(_RECORD_S)
+            await asyncio.sleep(_PERSIST_INTERVAL_S)
             if self._is_unsaved and self._node.leads:
                 self._is_unsaved = False
                 await self._save()
 
-    def _count(
-        self, request: str, instance: str, at: float, router: str
+    def _record_end(
+        self, request: str, instance: str, ended_at: float, router: str
     ) -> None:
-        ends = self._register.record_end(request, instance, at)
+        ends = self._register.record_end(request, instance, ended_at)
         if ends < suspicion.PERMIT_MIN_ENDS:
-            return  # one end takes all with it that ran there
+            return  # all requests of the instance share this end
         self._is_unsaved = True
         self._is_stale = True
         logs.emit(
@@ -195,40 +205,47 @@
             router=router,
         )
 
-    def _show(self) -> None:
-        """Give what gateways are told a new number if it changed."""
+    def _update_reported(self) -> None:
+        """Update :attr:`reported`, and its number if it changed."""
         now = _now()
         self._is_stale = False
-        shown = self._register.suspects()
-        until = {
-            one.request: one.barred_until
-            for one in shown
-            if one.is_barred(now)
+        reported = self._register.suspects()
+        barred_until = {
+            suspect.request: suspect.barred_until
+            for suspect in reported
+            if suspect.is_barred(now)
         }
-        self._due = min(until.values(), default=float('inf'))
-        barred = frozenset(until)
-        if self._number and shown == self._shown and barred == self._barred:
+        self._next_unbar_at = min(barred_until.values(), default=float('inf'))
+        barred = frozenset(barred_until)
+        if (
+            self._number
+            and reported == self._reported
+            and barred == self._barred
+        ):
             return
-        self._shown = shown
+        self._reported = reported
         self._barred = barred
         self._number += 1
 
-    def _ended(self) -> dict[str, tuple[str, ...]]:
-        """Return the instances that ended under each that is shown."""
+    def _ended_instances(self) -> dict[str, tuple[str, ...]]:
+        """Return the ended instances by reported request."""
         return {
-            one.request: self._register.ended_instances(one.request)
-            for one in self._shown
+            suspect.request: self._register.ended_instances(suspect.request)
+            for suspect in self._reported
         }
 
     async def _save(self) -> None:
-        """Commit what changed; what fails comes again."""
+        """Commit the changes; retry failed ones in the next round."""
         self.refresh()
-        held = self._node.machine.suspects
-        wanted = self._ended()
-        changed = dict(wanted.items() - held.items())
+        committed = self._node.machine.suspects
+        current = self._ended_instances()
+        changed = dict(current.items() - committed.items())
         change = pb.SuspectChange(
             put=machine.suspect_records(changed),
-            removed=[bytes.fromhex(one) for one in held.keys() - wanted],
+            removed=[
+                bytes.fromhex(request)
+                for request in committed.keys() - current
+            ],
         )
         if not change.put and not change.removed:
             return
@@ -240,9 +257,9 @@
                 events.SUSPECTS_UNSAVED, code=error.code, detail=error.detail
             )
 
-    def _is_alive(self, holder: str) -> bool:
+    def _holder_has_lease(self, holder: str) -> bool:
         router, _, incarnation = holder.partition('/')
-        return self._alive(router, incarnation)
+        return self._has_lease(router, incarnation)
 
 
 def _holder(router: pb.Member) -> str:
@@ -250,7 +267,7 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    """Return a time left; 0 if it is over or has no end."""
+    """Return a remaining time; 0 if it is over or infinite."""
     if seconds <= 0 or seconds == float('inf'):
         return 0
     return max(1, int(seconds * 1000))
