--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -396,7 +396,7 @@
                 if signalled_since is None
                 else min(signalled_since, listed_since)
             ),
-            is_sound=self._health.is_healthy(instance.id)
+            is_healthy=self._health.is_healthy(instance.id)
             and instance.id not in self._unreachable
             and not self._signals.rest_remaining_s(instance.id),
         )
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -137,14 +137,14 @@
     return Choice(by_id[chosen], -1, running, 0.0, len(found))
 
 
-def can_be_copied_from(leaving_s: float, *, is_sound: bool) -> bool:
+def can_be_copied_from(leaving_s: float, *, is_healthy: bool) -> bool:
     """Whether an instance can be named as one to copy from.
 
     :param leaving_s: for how long we have known that it leaves; 0 if it does
         not
     :param is_sound: whether it has not failed since it last answered
     """
-    return is_sound and leaving_s < _COPIED_WHILE_LEAVING_S
+    return is_healthy and leaving_s < _COPIED_WHILE_LEAVING_S
 
 
 def find_cache_source(
