--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -1,39 +1,35 @@
-"""What happens to a request while this gateway may not send any.
+"""Decide whether a request waits for the gateway's lease or is refused.
 
-A gateway sends on a lease alone. Two loads meet it without one:
+A gateway may send requests only while it holds a lease from control. There
+are two reasons to have none:
 
-- It is cut off from control while callers still reach it. The others serve,
-  so whoever comes is sent there at once. Told to wait for a lease (4 s), 116
-  of 500 requests were late in four seconds in which 4 of 18 gateways were cut
-  off.
-- All processes start anew, and callers come before the first lease. Nobody
-  else serves either, and a lease is due within a few tenths of a second: who
-  has the time waits for it, all others are told when to come back.
+- The gateway is cut off from control. Other gateways serve, so the request
+  is refused at once and the caller tries another one.
+- All processes have just started. No gateway serves, and the first lease is
+  due shortly, so the request waits for it if its deadline allows that.
 """
 
 import attrs
 
-# From a start to the first lease after a loss of all processes, in seconds:
-# usually, and at the most (0.2 to 0.65 on machines of half a core, the start
-# of the last replica included). Who leaves before the first is refused.
-_USUAL_S = 0.4
-_LONGEST_S = 0.7
-# How long before it leaves a caller that waited gets its refusal, and when
-# one may come back that was refused shortly before the lease is due.
-_SOON_S = 0.1
-# When the first lease is later than that, there is no quorum yet; replicas
-# take about so long to come back one by one.
-_NO_QUORUM_S = 1.0
-# Another gateway can serve at once; a round trip is about so long, in seconds.
-_ELSEWHERE_S = 0.02
+# Time from the start of a gateway to its first lease when all processes
+# start together: typical and maximum.
+_FIRST_LEASE_TYPICAL_S = 0.4
+_FIRST_LEASE_MAX_S = 0.7
+# How long before its deadline a waiting request is refused, and the shortest
+# retry delay while the first lease is due.
+_REFUSAL_MARGIN_S = 0.1
+# Retry delay while control has no quorum.
+_NO_QUORUM_RETRY_S = 1.0
+# Retry delay if other gateways serve: about a round trip.
+_OTHER_GATEWAY_RETRY_S = 0.02
 
 
 @attrs.frozen(kw_only=True)
 class StartState:
-    """What a gateway without a lease knows of itself.
+    """The history of a gateway that has no lease.
 
-    :ivar started: when it began to take connections
-    :ivar has_served: whether it held a lease since then
+    :ivar started: when it began to accept connections, as loop time
+    :ivar has_served: whether it has held a lease since then
     """
 
     started: float
@@ -41,25 +37,28 @@
 
 
 def lease_wait_deadline(
-    standing: StartState, until: float, now: float
+    start_state: StartState, until: float, now: float
 ) -> float | None:
-    """Return until when a request waits for the lease.
+    """Return until when a request waits for the first lease.
 
-    :param until: when its caller leaves
-    :returns: a time, or ``None`` if it is refused at once
+    :param until: the deadline of the request, as loop time
+    :param now: as loop time, in seconds
+    :returns: loop time, or ``None`` if it is refused at once
     """
-    last = standing.started + _LONGEST_S
-    if standing.has_served or now >= last:
+    latest_lease_at = start_state.started + _FIRST_LEASE_MAX_S
+    if start_state.has_served or now >= latest_lease_at:
         return None
-    if until <= max(now, standing.started + _USUAL_S):
+    if until <= max(now, start_state.started + _FIRST_LEASE_TYPICAL_S):
         return None
-    return min(last, until - _SOON_S)
+    return min(latest_lease_at, until - _REFUSAL_MARGIN_S)
 
 
-def retry_after_s(standing: StartState, now: float) -> float:
-    """Return when a refused caller may come back, in seconds."""
-    if standing.has_served:
-        return _ELSEWHERE_S
-    if now >= standing.started + _LONGEST_S:
-        return _NO_QUORUM_S
-    return max(_SOON_S, standing.started + _USUAL_S - now)
+def retry_after_s(start_state: StartState, now: float) -> float:
+    """Return the retry delay for a refused caller, in seconds."""
+    if start_state.has_served:
+        return _OTHER_GATEWAY_RETRY_S
+    if now >= start_state.started + _FIRST_LEASE_MAX_S:
+        return _NO_QUORUM_RETRY_S
+    return max(
+        _REFUSAL_MARGIN_S, start_state.started + _FIRST_LEASE_TYPICAL_S - now
+    )
--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -1,8 +1,8 @@
-"""Which engine a chat belongs to, and who stewards an engine.
+"""Rendezvous hashing of keys over candidates.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998): every candidate gets a
-score for the key, the highest one wins. When a candidate goes, only its
-own keys move; when one comes, it takes an equal part from each.
+Every candidate gets a score for the key, and the highest score wins (Thaler
+and Ravishankar, 1998). When a candidate is removed, only its own keys move;
+when one is added, it takes an equal share from each of the others.
 """
 
 import collections.abc
@@ -11,25 +11,25 @@
 
 import xxhash
 
-# Candidates that are ranked before all others are.
-_FIRST = 8
+# Candidates that are selected before the rest are sorted.
+_FIRST_BATCH = 8
 
 
 def candidate_seed(candidate: str) -> int:
-    """Return the hash seed of a candidate; the same everywhere."""
-    found = _SEEDS.get(candidate)
-    if found is None:
-        found = xxhash.xxh3_64_intdigest(candidate.encode())
-        _SEEDS[candidate] = found
-    return found
+    """Return the hash seed of a candidate, the same in every process."""
+    seed = _SEEDS.get(candidate)
+    if seed is None:
+        seed = xxhash.xxh3_64_intdigest(candidate.encode())
+        _SEEDS[candidate] = seed
+    return seed
 
 
 def rank(
-    key: str, candidates: collections.abc.Iterable[str], most: int
+    key: str, candidates: collections.abc.Iterable[str], limit: int
 ) -> list[str]:
     """Return the best candidates for a key, the best one first."""
     scored = _score(key, candidates)
-    return [name for _, name in heapq.nlargest(most, scored)]
+    return [candidate for _, candidate in heapq.nlargest(limit, scored)]
 
 
 def iter_ranked(
@@ -37,15 +37,14 @@
 ) -> collections.abc.Iterator[str]:
     """Yield all candidates for a key, the best one first.
 
-    As a rule one of the first is taken: of 3,000 candidates the best one takes
-    0.6 ms, and 1.4 if all are sorted (means of 200 on one core).
+    All of them are sorted only if more than the first few are consumed.
     """
     scored = _score(key, candidates)
-    first = heapq.nlargest(_FIRST, scored)
-    yield from (name for _, name in first)
-    if len(scored) > _FIRST:
-        rest = heapq.nlargest(len(scored), scored)[_FIRST:]
-        yield from (name for _, name in rest)
+    first = heapq.nlargest(_FIRST_BATCH, scored)
+    yield from (candidate for _, candidate in first)
+    if len(scored) > _FIRST_BATCH:
+        rest = heapq.nlargest(len(scored), scored)[_FIRST_BATCH:]
+        yield from (candidate for _, candidate in rest)
 
 
 def is_top_ranked(
@@ -53,39 +52,46 @@
 ) -> bool:
     """Whether a candidate is the best one for a key.
 
-    Most candidates lose against one of the first few, so this is much
-    cheaper than ranking all.
+    Stops at the first better candidate, which is cheaper than ranking all.
     """
-    hashed = xxhash.xxh3_64_intdigest
-    encoded = key.encode()
-    mine = (hashed(encoded, candidate_seed(name)), name)
+    score_of = xxhash.xxh3_64_intdigest
+    encoded_key = key.encode()
+    own_score = (score_of(encoded_key, candidate_seed(name)), name)
     return not any(
-        (hashed(encoded, candidate_seed(other)), other) > mine
-        for other in candidates
-        if other != name
+        (score_of(encoded_key, candidate_seed(candidate)), candidate)
+        > own_score
+        for candidate in candidates
+        if candidate != name
     )
 
 
 def _score(
     key: str, candidates: collections.abc.Iterable[str]
 ) -> list[tuple[int, str]]:
-    hashed = xxhash.xxh3_64_intdigest
-    encoded = key.encode()
+    """Return each candidate with its score for the key."""
+    score_of = xxhash.xxh3_64_intdigest
+    encoded_key = key.encode()
     seeds = _SEEDS
     return [
-        (hashed(encoded, seeds.get(name) or candidate_seed(name)), name)
-        for name in candidates
+        (
+            score_of(
+                encoded_key, seeds.get(candidate) or candidate_seed(candidate)
+            ),
+            candidate,
+        )
+        for candidate in candidates
     ]
 
 
 def max_load(multiple: float, total: int, count: int) -> int:
-    """Return the most load that one of ``count`` engines may carry.
+    """Return the maximum load for each of ``count`` candidates.
 
     Consistent hashing with bounded loads (Mirrokni, Thorup and
-    Zadimoghaddam, 2016): the new request counts into the mean.
+    Zadimoghaddam, 2016); the mean includes the new request.
 
     :param multiple: of the mean load; above 1
-    :param total: requests on all engines before this one
+    :param total: requests on all candidates before the new one
+    :returns: in requests; 0 if there are no candidates
     """
     return math.ceil(multiple * (total + 1) / count) if count else 0
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -1,15 +1,12 @@
-"""Which instance of a service takes a request, and where from it may copy.
-
-Every gateway decides alone, from its own exact counts and the others'
-counts, which are a report's period late. Requests that share a prompt prefix
-rank the places by rendezvous hashing and take the first one whose load is
-under a bound (consistent hashing with bounded loads; Mirrokni, Thorup and
-Zadimoghaddam, 2016), so a prefix stays where it is cached until its instance
-is over the bound. All others take an instance that likely runs little
-(:mod:`honeyport.policy.stale`).
-
-The load this answers: few prefixes get much of the traffic, and prompts are
-long. Reading 10,500 tokens takes 94 ms and holds up all that runs beside it.
+"""Select the instance for a request and the source of its cached prefix.
+
+Every gateway decides locally, from its own exact request counts and from the
+counts of the other gateways, which are one report period old. Requests with a
+prompt prefix rank the places by rendezvous hashing and take the first whose
+load is below a bound (consistent hashing with bounded loads; Mirrokni, Thorup
+and Zadimoghaddam, 2016), so that a prefix stays where it is cached until that
+instance is overloaded. Other requests go to an instance with a low estimated
+load (:mod:`honeyport.policy.stale`).
 """
 
 import collections.abc
@@ -19,20 +16,25 @@
 from honeyport.policy import prefixes
 from honeyport.policy import stale
 
-# The most load of an instance as a multiple of the mean, and what is
-# allowed on top while the mean is small. Under the limit that platforms
-# set (2 times the mean, and 3), since the others' counts are late.
-_BOUND = 1.8
-_BOUND_EXTRA = 1
-# How long an instance that leaves is copied from, in seconds since we heard
-# of it. It serves for so long and then ends what it runs, before it is off the
-# list; an instance that copies from one that is gone waits for it in vain.
-_COPIED_WHILE_LEAVING_S = 3.0
+# Load bound: this multiple of the mean, plus a number of requests. It is
+# below the platforms' limit (2 times the mean, plus 3) because the counts of
+# other gateways are outdated.
+_BOUND_MEAN_MULTIPLE = 1.8
+_BOUND_EXTRA_REQUESTS = 1
+# How long a leaving instance may be copied from. A copy from an instance that
+# has stopped would wait until it times out.
+_COPY_FROM_LEAVING_MAX_S = 3.0
 
 
 @attrs.frozen
 class Instance:
-    """One running instance of a service."""
+    """A running instance of a service.
+
+    :ivar leaving: whether the platform is about to stop it
+    :ivar slots: how many requests it runs at the same time
+    :ivar place: the hash position that it holds, or ``''``
+        (:mod:`honeyport.policy.places`)
+    """
 
     id: str
     service: str
@@ -45,14 +47,14 @@
 
 @attrs.frozen
 class Choice:
-    """An instance, and what decided for it.
-
-    :ivar rank: its position among those that suit the prompt, or -1 if
-        only its load decided
-    :ivar load: what ran there, through any gateway
-    :ivar bound: the load it had to be under; 0 if none
-    :ivar usable: how many instances there were to choose from
-    :ivar source: an instance that likely holds more of the prompt's prefix
+    """The selected instance and the reason for its selection.
+
+    :ivar rank: its position in the hash ranking of the prompt, or -1 if
+        it was selected by load alone
+    :ivar load: the requests that run there, through any gateway
+    :ivar bound: the load that it had to be below; 0 if there was no bound
+    :ivar usable: the number of instances to choose from
+    :ivar source: an instance that likely caches more of the prompt's prefix
     """
 
     instance: Instance
@@ -68,12 +70,13 @@
 
 @attrs.frozen
 class Candidates:
-    """The instances of a service, by what they may get now.
+    """The instances of a service, grouped by preference.
 
-    :ivar first: those to choose from, not empty
-    :ivar reserve: those that are spared while one of the first has room
-    :ivar peers: all of them, whose mean load counts: some may get nothing
-        now, since they are cold or evacuated, or failed the request
+    :ivar preferred: those to choose from, not empty
+    :ivar reserve: those that are used only if all preferred ones are at the
+        bound
+    :ivar peers: all instances whose load counts into the mean, including
+        those that must not get this request
     """
 
     preferred: Instances
@@ -83,103 +86,115 @@
 
 def choose_by_prefix(
     parts: prefixes.Parts,
-    among: Candidates,
+    candidates: Candidates,
     counts: stale.LoadCounts,
     domain: str,
 ) -> Choice:
-    """Return the first instance for a prompt that is under the bound.
+    """Return the best-ranked instance for a prompt that is below the bound.
 
     :param parts: the parts of the prompt, not empty
-    :param domain: our failure domain
+    :param domain: the failure domain of this gateway
     """
-    total = sum(counts.total(instance.id) for instance in among.peers)
-    bound = _BOUND * (total + 1) / len(among.peers) + _BOUND_EXTRA
-    for found in (among.preferred, among.reserve):
-        choice = _under_bound(parts, found, counts, bound)
+    total = sum(counts.total(instance.id) for instance in candidates.peers)
+    bound = (
+        _BOUND_MEAN_MULTIPLE * (total + 1) / len(candidates.peers)
+        + _BOUND_EXTRA_REQUESTS
+    )
+    for instances in (candidates.preferred, candidates.reserve):
+        choice = _first_below_bound(parts, instances, counts, bound)
         if choice is not None:
             return choice
-    return choose_by_load(among.preferred, counts, domain)
+    return choose_by_load(candidates.preferred, counts, domain)
 
 
-def _under_bound(
+def _first_below_bound(
     parts: prefixes.Parts,
-    found: Instances,
+    instances: Instances,
     counts: stale.LoadCounts,
     bound: float,
 ) -> Choice | None:
-    """Return the first one that runs less than a bound, if any does."""
-    by_place = {one.place: one for one in found if one.place}
+    """Return the best-ranked instance with a load below the bound, if any."""
+    by_place = {
+        candidate.place: candidate
+        for candidate in instances
+        if candidate.place
+    }
     for rank, place in enumerate(prefixes.rank_places(parts, by_place)):
         instance = by_place[place]
-        running = counts.total(instance.id)
-        if running < bound:
-            return Choice(instance, rank, running, bound, len(found))
+        load = counts.total(instance.id)
+        if load < bound:
+            return Choice(instance, rank, load, bound, len(instances))
     return None
 
 
 def choose_by_load(
-    found: Instances, counts: stale.LoadCounts, domain: str
+    instances: Instances, counts: stale.LoadCounts, domain: str
 ) -> Choice:
-    """Return an instance that likely runs least.
+    """Return an instance with the lowest estimated load.
 
-    While nothing is known to run anywhere, one of our domain if there is one.
+    If all instances are idle, prefers those of the gateway's own domain.
 
-    :param found: the instances to choose from, not empty
-    :param domain: our failure domain
+    :param instances: the instances to choose from, not empty
+    :param domain: the failure domain of this gateway
     """
-    by_id = {one.id: one for one in found}
-    names = list(by_id)
-    if not any(map(counts.total, names)):
-        near = [one.id for one in found if one.domain == domain]
-        names = near or names
-    chosen = stale.choose(names, counts)
-    running = counts.total(chosen)
-    return Choice(by_id[chosen], -1, running, 0.0, len(found))
+    by_id = {instance.id: instance for instance in instances}
+    ids = list(by_id)
+    if not any(map(counts.total, ids)):
+        local_ids = [
+            instance.id for instance in instances if instance.domain == domain
+        ]
+        ids = local_ids or ids
+    chosen_id = stale.choose(ids, counts)
+    load = counts.total(chosen_id)
+    return Choice(by_id[chosen_id], -1, load, 0.0, len(instances))
 
 
 def can_be_copied_from(leaving_s: float, *, is_healthy: bool) -> bool:
-    """Whether an instance can be named as one to copy from.
+    """Whether other instances may copy cached prefixes from an instance.
 
-    :param leaving_s: for how long we have known that it leaves; 0 if it does
-        not
-    :param is_sound: whether it has not failed since it last answered
+    :param leaving_s: seconds since it became known that it leaves; 0 if it
+        does not leave
+    :param is_healthy: whether it has not failed since its last answer
     """
-    return is_healthy and leaving_s < _COPIED_WHILE_LEAVING_S
+    return is_healthy and leaving_s < _COPY_FROM_LEAVING_MAX_S
 
 
 def find_cache_source(
     parts: prefixes.Parts,
     chosen: Instance,
-    others: Instances,
+    available_sources: Instances,
     holders: prefixes.Holders,
 ) -> Instance | None:
-    """Return where the chosen instance may copy the prefix from.
+    """Return the instance to copy the prefix from, or ``None``.
 
-    Copying takes a fifth of the time of reading. The longest shared part
-    decides: an instance that was seen to hold it, else the next best one
-    for the prompt. That was the first choice if places moved lately, and
-    likely holds the leading parts in any case.
+    Returns an instance that is known to hold the longest shared part, else
+    the next-ranked one: it was ranked first if places moved recently.
 
-    :param others: instances that may be copied, the chosen one left out
+    :param available_sources: instances that may be copied from, without the
+        chosen one
     """
     shared = prefixes.shared_parts(parts)
     if not shared or chosen.id in holders.holders_of(shared[-1].id):
         return None
-    by_id = {one.id: one for one in others}
-    for name in holders.holders_of(shared[-1].id):
-        if name in by_id:
-            return by_id[name]
-    return _next_best(parts, others)
+    by_id = {instance.id: instance for instance in available_sources}
+    for holder_id in holders.holders_of(shared[-1].id):
+        if holder_id in by_id:
+            return by_id[holder_id]
+    return _best_ranked(parts, available_sources)
 
 
-def _next_best(parts: prefixes.Parts, others: Instances) -> Instance | None:
-    """Return the first choice for a prompt among other instances.
+def _best_ranked(
+    parts: prefixes.Parts, instances: Instances
+) -> Instance | None:
+    """Return the best-ranked instance for a prompt.
 
-    An instance that leaves goes before the one that took its place.
+    A leaving instance is preferred to its successor at the same place.
     """
     by_place: dict[str, Instance] = {}
-    for one in others:
-        if one.place and (one.leaving or one.place not in by_place):
-            by_place[one.place] = one
-    best = next(prefixes.rank_places(parts, by_place), None)
-    return by_place[best] if best is not None else None
+    for instance in instances:
+        if instance.place and (
+            instance.leaving or instance.place not in by_place
+        ):
+            by_place[instance.place] = instance
+    best_place = next(prefixes.rank_places(parts, by_place), None)
+    return by_place[best_place] if best_place is not None else None
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -1,34 +1,30 @@
-"""Which instance of a backend server keeps which prefixes.
+"""Assign stable hash positions (places) to the instances of a service.
 
-Prefixes are hashed over places, and each place has one holder. A place is
-named after its first holder; an instance that replaces another takes over
-its place, so that prefixes move once, and only those of the one that went.
-
-The load this answers: instances are replaced one after the other, crash and
-come back under another name, and now and then all processes of ours start
-anew while the instances keep what they have read. Hashed over the instances
-that are there, every such event would move most prefixes.
+Prefixes are hashed over places instead of instances, and each place is held
+by one instance. A place is named after its first holder. An instance that
+replaces another takes over its place, so that a rolling restart, or a crash
+and a start under a new name, moves no prefixes of the other instances.
 """
 
 import collections.abc
 
 import attrs
 
-# How long a newcomer waits for the place of one that leaves, in seconds:
-# a replacement starts a second or two before its predecessor leaves.
-_SETTLE_S = 3.0
-# Places without a holder that are kept for each instance of a service: all
-# of its instances may be gone at once and come back under other names.
-_FREE_SHARE = 1.0
+# How long a new instance waits to inherit a place before it gets a new one:
+# a replacement starts shortly before its predecessor leaves.
+_INHERIT_WAIT_S = 3.0
+# Free places that are kept, as a multiple of the number of instances: all of
+# them may be replaced at the same time.
+_FREE_PLACES_PER_INSTANCE = 1.0
 
 
 @attrs.frozen
 class Holding:
-    """Who has a place.
+    """The holder of a place and its predecessor.
 
-    :ivar holder: the instance that had it last
-    :ivar former: the one before, which may still be leaving: its successor
-        copies prefixes from it, also under a new leader
+    :ivar holder: id of the latest instance that holds or held it
+    :ivar former: id of the instance before, which may still be leaving, so
+        that its successor can copy prefixes from it; ``''`` if none
     """
 
     service: str
@@ -41,7 +37,7 @@
 
 @attrs.frozen
 class ListedInstance:
-    """An instance as the platform lists it."""
+    """An instance in the platform's list."""
 
     id: str
     service: str
@@ -50,21 +46,25 @@
 
 @attrs.frozen
 class Change:
-    """What leads from some holdings to others."""
+    """The difference between two sets of holdings, by place.
+
+    :ivar put: holdings that are new or changed
+    :ivar removed: places that no longer exist
+    """
 
     put: dict[str, Holding]
     removed: tuple[str, ...]
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to change."""
+        """Whether both sets of holdings are equal."""
         return not self.put and not self.removed
 
 
 class Assigner:
-    """Gives places to the instances of all services.
+    """Assigns places to the instances of all services.
 
-    :param holdings: what was decided before, by place
+    :param holdings: the current holdings, by place
     """
 
     def __init__(self, holdings: Holdings) -> None:
@@ -82,27 +82,31 @@
     def assign(
         self, listed: collections.abc.Collection[ListedInstance], now: float
     ) -> dict[str, str]:
-        """Return the place of each instance that has one.
+        """Assign places; return the place of each instance that has one.
 
-        An instance that leaves keeps its place beside its successor.
+        A leaving instance keeps its place while its successor has it as
+        well.
+
+        :param now: as loop time, in seconds
         """
         self._first_seen = {
-            one.id: self._first_seen.get(one.id, now) for one in listed
+            instance.id: self._first_seen.get(instance.id, now)
+            for instance in listed
         }
-        members: dict[str, list[ListedInstance]] = {}
-        for one in listed:
-            members.setdefault(one.service, []).append(one)
-        for service, found in members.items():
-            self._fill(service, found, now)
-        self._forget_successors()
+        by_service: dict[str, list[ListedInstance]] = {}
+        for instance in listed:
+            by_service.setdefault(instance.service, []).append(instance)
+        for service, instances in by_service.items():
+            self._assign_service(service, instances, now)
+        self._drop_replaced()
         return {
-            one.id: self._places[one.id]
-            for one in listed
-            if one.id in self._places
+            instance.id: self._places[instance.id]
+            for instance in listed
+            if instance.id in self._places
         }
 
     def diff_from(self, before: Holdings) -> Change:
-        """Return what leads from other holdings to the present ones."""
+        """Return the change from earlier holdings to the current ones."""
         put = {
             place: holding
             for place, holding in self._holdings.items()
@@ -110,39 +114,47 @@
         }
         return Change(put, tuple(sorted(set(before) - set(self._holdings))))
 
-    def _fill(
-        self, service: str, members: list[ListedInstance], now: float
+    def _assign_service(
+        self, service: str, instances: list[ListedInstance], now: float
     ) -> None:
-        """Give places to the members of one service that have none."""
-        known = [
+        """Assign places to the instances of one service that have none."""
+        service_places = [
             place
             for place, holding in self._holdings.items()
             if holding.service == service
         ]
-        held = {self._places.get(one.id) for one in members if not one.leaving}
-        free = [place for place in known if place not in held]
-        for one in members:
-            if one.leaving or one.id in self._places:
+        held = {
+            self._places.get(instance.id)
+            for instance in instances
+            if not instance.leaving
+        }
+        free = [place for place in service_places if place not in held]
+        for instance in instances:
+            if instance.leaving or instance.id in self._places:
                 continue
             if free:
-                self._give(free.pop(0), one)
-            elif not known or now - self._first_seen[one.id] >= _SETTLE_S:
-                self._give(one.id, one)
-        surplus = len(free) - int(_FREE_SHARE * len(members))
+                self._set_holder(free.pop(0), instance)
+            elif (
+                not service_places
+                or now - self._first_seen[instance.id] >= _INHERIT_WAIT_S
+            ):
+                self._set_holder(instance.id, instance)
+        surplus = len(free) - int(_FREE_PLACES_PER_INSTANCE * len(instances))
         for place in free[: max(0, surplus)]:
             del self._holdings[place]
 
-    def _give(self, place: str, one: ListedInstance) -> None:
-        before = self._holdings.pop(place, None)  # the latest stands last
-        former = before.holder if before else ''
-        self._holdings[place] = Holding(one.service, one.id, former)
-        self._places[one.id] = place
+    def _set_holder(self, place: str, instance: ListedInstance) -> None:
+        # Popped so that the dict stays ordered by the time of assignment.
+        previous = self._holdings.pop(place, None)
+        former = previous.holder if previous else ''
+        self._holdings[place] = Holding(instance.service, instance.id, former)
+        self._places[instance.id] = place
 
-    def _forget_successors(self) -> None:
-        """Forget who is gone and whose place is another's by now."""
+    def _drop_replaced(self) -> None:
+        """Drop unlisted instances whose places have new holders."""
         holders = {holding.holder for holding in self._holdings.values()}
         self._places = {
-            name: place
-            for name, place in self._places.items()
-            if name in self._first_seen or name in holders
+            instance_id: place
+            for instance_id, place in self._places.items()
+            if instance_id in self._first_seen or instance_id in holders
         }
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -1,10 +1,9 @@
-"""The parts of prompts: which places suit them, and who holds them.
+"""Prompt prefixes: their hash ranking of places and their known holders.
 
-The last part of a prompt is the request's own; the one before it is what
-returning requests share, and it decides: rendezvous hashing puts the same
-prefix on the same place everywhere. What a gateway has seen itself is kept,
-for a bounded number of parts; it is never needed for an answer, only for a
-faster one.
+The last part of a prompt is specific to the request; the part before it is
+the longest one that requests share. Its rendezvous hash ranks the places, so
+that all gateways send the same prefix to the same place. In addition, each
+gateway remembers which instances recently read a part.
 """
 
 import collections
@@ -14,16 +13,17 @@
 
 from honeyport.policy import hashing
 
-# Parts that are remembered; some 200 bytes each. Fleets of 20 instances share
-# 250 to 1,800 parts.
-_MOST_PARTS = 2048
-# Instances that are remembered for one part, the latest ones.
-_MOST_HOLDERS = 3
+_MAX_PARTS = 2048  # about 200 bytes each
+_MAX_HOLDERS_PER_PART = 3
 
 
 @attrs.frozen
 class Part:
-    """A part of a prompt, as the caller names it."""
+    """A part of a prompt.
+
+    :ivar id: identifies its text, chosen by the caller
+    :ivar tokens: its length; 0 if unknown
+    """
 
     id: str
     tokens: int
@@ -35,51 +35,56 @@
 def rank_places(
     parts: Parts, places: collections.abc.Iterable[str]
 ) -> collections.abc.Iterator[str]:
-    """Yield places, the one that suits a prompt best first.
+    """Yield places in the hash order of a prompt, the best one first.
 
     :param parts: not empty
     """
-    deciding = parts[-2] if len(parts) > 1 else parts[-1]
-    return hashing.iter_ranked(deciding.id, places)
+    key_part = parts[-2] if len(parts) > 1 else parts[-1]
+    return hashing.iter_ranked(key_part.id, places)
 
 
 def shared_parts(parts: Parts) -> Parts:
-    """Return the parts that other requests have, too."""
+    """Return the parts that other requests may have in common."""
     return parts[:-1]
 
 
 class Holders:
-    """The instances that answered requests with a part, latest first."""
+    """The instances that recently answered requests with a part.
+
+    Keeps a bounded number of parts and of instances for each.
+    """
 
     def __init__(self) -> None:
-        self._found: collections.OrderedDict[str, tuple[str, ...]] = (
+        self._holders: collections.OrderedDict[str, tuple[str, ...]] = (
             collections.OrderedDict()
         )
 
     def add(self, part: str, instance: str) -> None:
-        """Note that an instance has read a part."""
-        known = self._found.pop(part, ())
-        others = tuple(name for name in known if name != instance)
-        self._found[part] = (instance, *others)[:_MOST_HOLDERS]
-        if len(self._found) > _MOST_PARTS:
-            self._found.popitem(last=False)
+        """Record that an instance has read a part."""
+        holders = self._holders.pop(part, ())
+        earlier = tuple(holder for holder in holders if holder != instance)
+        self._holders[part] = (instance, *earlier)[:_MAX_HOLDERS_PER_PART]
+        if len(self._holders) > _MAX_PARTS:
+            self._holders.popitem(last=False)
 
     def holders_of(self, part: str) -> tuple[str, ...]:
-        """Return the instances that hold a part, the latest one first."""
-        return self._found.get(part, ())
+        """Return the instances that read a part, the latest one first."""
+        return self._holders.get(part, ())
 
     def forget_instance(self, instance: str) -> None:
-        """Forget what one instance holds: it may have started again."""
-        self._forget(lambda name: name == instance)
+        """Drop an instance, whose cache may be lost after a restart."""
+        self._drop(lambda holder: holder == instance)
 
     def retain(self, present: collections.abc.Container[str]) -> None:
-        """Forget the instances that are gone."""
-        self._forget(lambda name: name not in present)
-
-    def _forget(self, is_gone: collections.abc.Callable[[str], bool]) -> None:
-        for part, known in list(self._found.items()):
-            left = tuple(name for name in known if not is_gone(name))
-            if left:
-                self._found[part] = left
+        """Drop the instances that are not present."""
+        self._drop(lambda holder: holder not in present)
+
+    def _drop(self, is_dropped: collections.abc.Callable[[str], bool]) -> None:
+        for part, holders in list(self._holders.items()):
+            kept = tuple(
+                holder for holder in holders if not is_dropped(holder)
+            )
+            if kept:
+                self._holders[part] = kept
             else:
-                del self._found[part]
+                del self._holders[part]
