--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -200,7 +200,7 @@
     report = pb.Report()
 
     async def fill():
-        context.setting.gateway._fill(report)
+        context.setting.gateway._fill_report(report)
 
     context.run(fill())
     assert sorted(report.resting) == wanted, report.resting
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""A gateway as part of a process."""
+"""Assembly, start and shutdown of a gateway."""
 
 import asyncio
 import socket
@@ -28,14 +28,13 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-_POLL_S = 0.05
-# Instances at rest that one report names: a report stays short also where
-# hundreds rest.
-_MOST_TOLD = 64
+_DRAIN_POLL_S = 0.05
+# Resting instances that one report lists at most.
+_MAX_RESTING_REPORTED = 64
 
 
 class Gateway:
-    """The parts of one gateway, and the order in which they stop."""
+    """A gateway: builds its components, starts and stops them."""
 
     def __init__(
         self,
@@ -49,16 +48,16 @@
         self._leaving = leaving
         self._metrics = counters
         self._state = fleetstate.FleetState()
-        self._wishes = instance_signals.InstanceSignals(
-            names, counters, lambda name: self._witness.mark_leaving(name)
+        self._signals = instance_signals.InstanceSignals(
+            names, counters, lambda name: self._end_detector.mark_leaving(name)
         )
         self._balancer = balancer.Balancer(
-            settings.name, settings.domain, settings.regions, self._wishes
+            settings.name, settings.domain, settings.regions, self._signals
         )
         self._pool = pool.Pool()
         self._gate = lease_gate.LeaseGate(self._state)
         self._suspects = suspects.SuspectTracker(counters)
-        self._witness = end_detector.EndDetector(
+        self._end_detector = end_detector.EndDetector(
             self._pool.probe, self._on_end
         )
         self._forwarder = forward.Forwarder(
@@ -66,20 +65,20 @@
             self._gate,
             names,
             self._balancer,
-            self._wishes,
+            self._signals,
             self._pool,
             retry_budgets.RetryBudgets(
                 allowance, lambda: len(self._state.serving_routers)
             ),
-            self._witness,
+            self._end_detector,
             self._suspects,
             counters,
         )
-        self._entry = server.Entry(self._forwarder, names)
+        self._caller_server = server.CallerServer(self._forwarder, names)
         self._session = session.Session(
             settings,
             self._state,
-            self._fill,
+            self._fill_report,
             None,
             self.apply_state,
             self._suspects,
@@ -87,70 +86,70 @@
         )
         self._version = 0
         self._lifetime = addresses.ListLifetime()
-        self._expose(counters)
+        self._register_gauges(counters)
 
     @property
     def state(self) -> fleetstate.FleetState:
-        """What this instance knows of the fleet."""
+        """This instance's view of the fleet."""
         return self._state
 
     @property
     def leader(self) -> str:
-        """The address of the leading control replica, or ``''``."""
+        """Address of the leading control replica, or ``''``."""
         return self._session.leader
 
     @property
     def not_ready_reason(self) -> str:
-        """Why callers should go elsewhere, or ``''``."""
-        if self._entry.closing:
+        """Reason why callers should use another gateway, or ``''``."""
+        if self._caller_server.closing:
             return 'leaving'
         try:
             self._state.check_lease()
         except errors.NotReady as error:
             return error.detail
         if not self._state.instances.number:
-            # Ready before it, one refused what came in the 50 ms between.
+            # Without the list every request would be refused.
             return 'no list of instances yet'
         return ''
 
     @property
     def list_lifetime_s(self) -> float:
-        """How long callers may keep a list of gateways, in seconds."""
+        """Lifetime of a list of gateways at callers, in seconds."""
         return self._lifetime.lifetime_s(asyncio.get_running_loop().time())
 
     def addresses(self, domain: str) -> list[str]:
-        """Return where a caller from a failure domain may connect."""
-        found = self._state.serving_routers
+        """Return the gateway addresses for a caller in a failure domain."""
+        routers = self._state.serving_routers
         if addresses.is_isolated(self._state.control_silence_s):
-            found = [
-                member
-                for member in found
-                if member.address != self._settings.listen
+            routers = [
+                router
+                for router in routers
+                if router.address != self._settings.listen
             ]
-        return addresses.choose(found, domain, self._settings.regions)
+        return addresses.choose(routers, domain, self._settings.regions)
 
     def set_control_addresses(self, control: tuple[str, ...]) -> None:
-        """Look for control at other addresses from now on."""
+        """Set the addresses at which control is contacted."""
         self._session.set_control_addresses(control)
 
     def register(self, server: grpc.aio.Server) -> None:
-        """Let the server of the replica beside us take a leader's call."""
+        """Register the leader's introduction call on a replica's server."""
         redirector.register(server, self._session, beside_replica=True)
 
     async def start(
         self,
         tree: supervisor.Supervisor,
-        opened: socket.socket | None = None,
+        listener: socket.socket | None = None,
     ) -> None:
         """Start serving under a supervisor.
 
-        :param opened: a listening socket on which callers may wait already
+        :param listener: socket that listens already; ``None`` to open one
         """
-        if opened is None:
+        if listener is None:
             host, port = roles.split(self._settings.listen)
-            self._entry.listen(host, port)
+            self._caller_server.listen(host, port)
         else:
-            self._entry.adopt(opened)
+            self._caller_server.add_listener(listener)
         self._gate.start()
         if not self._settings.replica:  # its replica listens there already
             await redirector.serve(
@@ -161,42 +160,42 @@
         tree.on_stop('drain', self._drain)
 
     async def _drain(self) -> None:
-        """Leave: out of the view, serve whoever still comes, finish."""
+        """Leave the view, serve for a while, refuse, and finish requests."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        self._entry.leave()
+        started_at = loop.time()
+        self._caller_server.start_closing()
         self._session.announce_leaving()
         await asyncio.sleep(self._leaving.refuse_after_s)
-        self._entry.refuse()
-        while loop.time() - began < self._leaving.stop_after_s:
+        self._caller_server.start_refusing()
+        while loop.time() - started_at < self._leaving.stop_after_s:
             if not self._forwarder.running:
                 return
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_DRAIN_POLL_S)
 
     async def _close(self) -> None:
-        await self._entry.stop()
-        self._witness.close()
+        await self._caller_server.stop()
+        self._end_detector.close()
         self._pool.close()
 
-    def _fill(self, report: pb.Report) -> None:
-        """Add what runs on each instance to a report."""
-        for name, running in self._balancer.running.items():
-            report.residuals.add(backend=name, running=running)
+    def _fill_report(self, report: pb.Report) -> None:
+        """Add in-flight requests and instance states to a report."""
+        for instance_id, running in self._balancer.running.items():
+            report.residuals.add(backend=instance_id, running=running)
         report.down.extend(self._balancer.unreachable)
-        report.resting.extend(self._wishes.resting[:_MOST_TOLD])
+        report.resting.extend(self._signals.resting[:_MAX_RESTING_REPORTED])
 
     def apply_state(self) -> None:
-        """Bring choice, connections and limits in line with the state."""
+        """Apply the fleet state to balancer, connections and limits."""
         self._gate.update()
         now = asyncio.get_running_loop().time()
         self._lifetime.record_leaving(self._state.draining_routers, now)
-        # Before the list: it is read with the services' tolerances.
+        # Before the list, which is read with the cold limits of services.
         if self._state.version != self._version:
             self._version = self._state.version
-            self._take_configuration(self._state.bundle)
+            self._apply_configuration(self._state.bundle)
         self._balancer.set_evacuated(self._state.evacuated)
         self._balancer.set_gateways(
-            [one.router for one in self._state.serving_routers]
+            [router.router for router in self._state.serving_routers]
         )
         self._balancer.set_unreachable(self._state.unreachable)
         usable = self._balancer.update(
@@ -206,11 +205,11 @@
         )
         if usable is not None:
             self._pool.retain(usable)
-            self._regard_list()
+            self._update_end_detector()
 
-    def _take_configuration(self, bundle: model.Bundle) -> None:
-        """Take the limits of a new configuration."""
-        self._entry.limit(bundle.requests)
+    def _apply_configuration(self, bundle: model.Bundle) -> None:
+        """Apply the limits of a new configuration."""
+        self._caller_server.set_limits(bundle.requests)
         self._balancer.set_cold_limits(
             {
                 name: cold.tolerance(
@@ -223,26 +222,26 @@
             }
         )
 
-    def _regard_list(self) -> None:
-        """Show the witness a new list of instances."""
+    def _update_end_detector(self) -> None:
+        """Pass a new list of instances to the end detector."""
         listed = self._state.instances.instances
-        self._witness.apply_listing(
-            {one.id for one in listed},
+        self._end_detector.apply_listing(
+            {instance.id for instance in listed},
             {
-                one.id
-                for one in listed
-                if one.leaving
-                or self._wishes.leaving_since(one.id) is not None
+                instance.id
+                for instance in listed
+                if instance.leaving
+                or self._signals.leaving_since(instance.id) is not None
             },
         )
 
     def _on_end(self, instance: str, requests: frozenset[str]) -> None:
-        """Tell of an instance that ended under requests of this gateway."""
+        """Count and report an instance that ended with requests running."""
         self._metrics.count('instances_ended')
         self._metrics.count('requests_under_ends', len(requests))
         self._suspects.record_end(instance, requests)
 
-    def _expose(self, counters: metrics.Metrics) -> None:
+    def _register_gauges(self, counters: metrics.Metrics) -> None:
         counters.gauge('config_version', lambda: self._state.version)
         counters.gauge('view', lambda: self._state.view)
         counters.gauge('lease_left_seconds', lambda: self._state.lease_left)
--- a/src/honeyport/gateway/exchanges.py
+++ b/src/honeyport/gateway/exchanges.py
@@ -67,7 +67,7 @@
     deadline: float
     version: int
     fingerprint: str
-    splitter: sse.Splitter = attrs.field(factory=sse.Splitter)
+    splitter: sse.EventSplitter = attrs.field(factory=sse.EventSplitter)
     tried: set[str] = attrs.field(factory=set)
     offers: int = 0
     possible_runs: int = 0
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -162,7 +162,7 @@
                 return
             except errors.HoneyportError as error:
                 if self._may_retry(exchange, error):
-                    exchange.splitter.restart()
+                    exchange.splitter.discard_partial()
                     continue
                 if exchange.failed_answer is None:
                     raise _combine_error(exchange, error) from None
@@ -395,9 +395,9 @@
         if not answer.is_relayed:
             await exchange.reply.answer(answer.head, answer.body)
             return
-        remainder = exchange.splitter.rest()
-        if remainder:
-            await exchange.reply.write(remainder)
+        partial = exchange.splitter.partial()
+        if partial:
+            await exchange.reply.write(partial)
         await exchange.reply.end()
 
 
--- a/src/honeyport/gateway/headers.py
+++ b/src/honeyport/gateway/headers.py
@@ -1,7 +1,6 @@
-"""Which headers carry what, between callers, gateway and instances.
+"""Headers between callers, gateway and instances.
 
-The names are settings: a platform brings its own. The defaults are the
-product's.
+A platform may configure other header names than the defaults.
 """
 
 import asyncio
@@ -13,7 +12,7 @@
 from honeyport import errors
 from honeyport.policy import prefixes
 
-# RFC 9110, section 7.6.1: they concern one connection only.
+# Hop-by-hop headers, which are not forwarded: RFC 9110, section 7.6.1.
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -29,13 +28,13 @@
         'content-length',
     )
 )
-_CREDENTIALS = 'Authorization'
-_SCHEME = 'bearer '
+_CREDENTIALS_HEADER = 'Authorization'
+_BEARER_PREFIX = 'bearer '
 
 
 @attrs.frozen(kw_only=True)
 class HeaderNames:
-    """The names of the headers that mean something to the gateway."""
+    """Names of the headers that the gateway reads or sets."""
 
     request_id: str = 'X-Request-Id'
     deadline_ms: str = 'Honeyport-Deadline-Ms'
@@ -44,24 +43,25 @@
     digest: str = 'Honeyport-Digest'
     not_run: str = 'Honeyport-Not-Run'
     load: str = 'Honeyport-Load'
-    # In any answer of an instance that leaves.
+    # In every answer of a leaving instance.
     leaving: str = 'Honeyport-Leaving'
     prompt_parts: str = 'Honeyport-Prompt-Parts'
     priority: str = 'Honeyport-Priority'
     last_event: str = 'Last-Event-Id'
-    # Address of an instance whose cached prefix may be copied.
+    # Address of an instance to copy the cached prefix from.
     copy_from: str = 'Honeyport-Copy-From'
-    # Set by the gateway alone, whatever a caller sent.
+    # Removed from requests of callers; only the gateway may set them.
     reserved: tuple[str, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
 class Request:
-    """What a caller asks for.
+    """A request of a caller.
 
-    :ivar target: path and query, as they were sent
-    :ivar headers: what is passed on to an instance
-    :ivar parts: the parts of its prompt, in order; the last is its own
+    :ivar target: path and query, as sent
+    :ivar headers: headers to forward to an instance
+    :ivar parts: prompt parts in order; the last one is not shared
+    :ivar received: loop time of its arrival
     :ivar deadline: loop time after which the caller waits no longer
     """
 
@@ -78,7 +78,7 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Path of the target, without its query."""
         return self.target.partition('?')[0]
 
 
@@ -87,51 +87,54 @@
     headers: httputil.HTTPHeaders,
     body: bytes,
     names: HeaderNames,
-    longest_s: float,
+    default_deadline_s: float,
 ) -> Request:
-    """Return the request that a caller sent.
+    """Decode a request.
 
-    :param longest_s: the deadline of a caller that names none, in seconds
-    :raises errors.BadRequest: if a header has no meaning
+    :param default_deadline_s: used if the caller names no deadline, in
+        seconds
+    :raises errors.BadRequest: if a header is malformed
     """
     now = asyncio.get_running_loop().time()
-    left_s = _seconds(headers.get(names.deadline_ms, ''), longest_s)
+    remaining_s = _parse_deadline_s(
+        headers.get(names.deadline_ms, ''), default_deadline_s
+    )
     return Request(
         request_id=headers.get(names.request_id, ''),
         method=start_line.method,
         target=start_line.path,
         host=headers.get('Host', '').lower(),
-        headers=_passed_on(headers, names),
+        headers=_forwarded_headers(headers, names),
         body=body,
-        api_key=_api_key(headers),
-        parts=_parts(headers.get(names.prompt_parts, '')),
+        api_key=_parse_api_key(headers),
+        parts=_parse_parts(headers.get(names.prompt_parts, '')),
         received=now,
-        deadline=now + left_s,
+        deadline=now + remaining_s,
     )
 
 
 def answer_headers(
     headers: httputil.HTTPHeaders, names: HeaderNames
 ) -> httputil.HTTPHeaders:
-    """Return an instance's headers without those of its connection."""
-    hidden = _HOP_BY_HOP | _named_by_connection(headers)
+    """Return the headers of an instance's answer that are forwarded."""
+    hidden = _HOP_BY_HOP | _connection_options(headers)
     return _without(headers, hidden | {names.load.lower()})
 
 
-def _passed_on(
+def _forwarded_headers(
     headers: httputil.HTTPHeaders, names: HeaderNames
 ) -> httputil.HTTPHeaders:
-    own = (
+    internal = (
         names.account,
         names.deadline_ms,
         names.expected_instance,
         names.priority,
         names.copy_from,
         *names.reserved,
-        _CREDENTIALS,
+        _CREDENTIALS_HEADER,
     )
-    hidden = _HOP_BY_HOP | _named_by_connection(headers)
-    return _without(headers, hidden | {name.lower() for name in own})
+    hidden = _HOP_BY_HOP | _connection_options(headers)
+    return _without(headers, hidden | {name.lower() for name in internal})
 
 
 def _without(
@@ -144,36 +147,37 @@
     return kept
 
 
-def _named_by_connection(headers: httputil.HTTPHeaders) -> set[str]:
-    listed = headers.get('Connection', '')
-    return {name.strip().lower() for name in listed.split(',')}
+def _connection_options(headers: httputil.HTTPHeaders) -> set[str]:
+    """Return the lower-case header names listed in ``Connection``."""
+    value = headers.get('Connection', '')
+    return {option.strip().lower() for option in value.split(',')}
 
 
-def _seconds(text: str, default: float) -> float:
+def _parse_deadline_s(text: str, default: float) -> float:
     if not text:
         return default
     try:
         return max(0.0, float(text) / 1000)
     except ValueError:
         raise errors.BadRequest(
-            f'the deadline {text!r} is not a number of milliseconds'
+            f'deadline {text!r} is not a number of milliseconds'
         ) from None
 
 
-def _api_key(headers: httputil.HTTPHeaders) -> str:
-    value = headers.get(_CREDENTIALS, '')
-    if value[: len(_SCHEME)].lower() != _SCHEME:
+def _parse_api_key(headers: httputil.HTTPHeaders) -> str:
+    value = headers.get(_CREDENTIALS_HEADER, '')
+    if value[: len(_BEARER_PREFIX)].lower() != _BEARER_PREFIX:
         return ''
-    return value[len(_SCHEME) :].strip()
+    return value[len(_BEARER_PREFIX) :].strip()
 
 
-def _parts(text: str) -> tuple[prefixes.Part, ...]:
-    """Return the parts in ``id:tokens,id:tokens``."""
-    found = []
+def _parse_parts(text: str) -> tuple[prefixes.Part, ...]:
+    """Parse prompt parts in the format ``id:tokens,id:tokens``."""
+    parts = []
     for item in text.split(','):
-        name, _, tokens = item.strip().partition(':')
-        if name:
-            found.append(
-                prefixes.Part(name, int(tokens) if tokens.isdigit() else 0)
+        part_id, _, tokens = item.strip().partition(':')
+        if part_id:
+            parts.append(
+                prefixes.Part(part_id, int(tokens) if tokens.isdigit() else 0)
             )
-    return tuple(found)
+    return tuple(parts)
--- a/src/honeyport/gateway/server.py
+++ b/src/honeyport/gateway/server.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests in, answers out."""
+"""HTTP server for the connections of callers."""
 
 import asyncio
 import http
@@ -19,13 +19,17 @@
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 
-# For a caller that names no deadline; the route's timeout ends it sooner.
-_LONGEST_S = 600.0
+# For callers that name no deadline, in seconds; the route timeout is shorter.
+_DEFAULT_DEADLINE_S = 600.0
 _CHUNK_BYTES = 64 * 1024
 
 
-class Entry(httputil.HTTPServerConnectionDelegate):
-    """Makes an exchange of each request on each connection."""
+class CallerServer(httputil.HTTPServerConnectionDelegate):
+    """Accepts connections and hands each request to the forwarder.
+
+    :param forwarder: serves the requests
+    :param names: header names
+    """
 
     def __init__(
         self,
@@ -39,38 +43,38 @@
         )
         self._closing = False
         self._refusing = False
-        self.limit(model.RequestLimits())
+        self.set_limits(model.RequestLimits())
 
     @property
     def names(self) -> gateway_headers.HeaderNames:
-        """The names of the headers."""
+        """Header names."""
         return self._names
 
     @property
     def forwarder(self) -> forward.Forwarder:
-        """What serves the requests."""
+        """Forwarder that serves the requests."""
         return self._forwarder
 
     @property
     def closing(self) -> bool:
-        """Whether every answer asks its caller to connect elsewhere."""
+        """Whether answers carry ``Connection: close``."""
         return self._closing
 
     @property
     def refusing(self) -> bool:
-        """Whether new requests are refused."""
+        """Whether new requests are refused with an error."""
         return self._refusing
 
     def listen(self, host: str, port: int) -> None:
-        """Take connections."""
+        """Listen on an address."""
         self._server.listen(port, host)
 
-    def adopt(self, opened: socket.socket) -> None:
-        """Take connections from a socket that listens already."""
-        self._server.add_socket(opened)
+    def add_listener(self, listener: socket.socket) -> None:
+        """Accept connections from a listening socket."""
+        self._server.add_socket(listener)
 
-    def limit(self, limits: model.RequestLimits) -> None:
-        """Set what callers may send, and how long they may be idle."""
+    def set_limits(self, limits: model.RequestLimits) -> None:
+        """Set the limits on request sizes and idle time."""
         parameters = self._server.conn_params
         parameters.max_header_size = limits.header_bytes
         parameters.max_body_size = limits.body_bytes
@@ -78,16 +82,16 @@
             max(limits.header_ms, limits.idle_ms) / 1000
         )
 
-    def leave(self) -> None:
-        """Ask callers to connect elsewhere; go on serving."""
+    def start_closing(self) -> None:
+        """Ask callers to reconnect elsewhere, and continue to serve."""
         self._closing = True
 
-    def refuse(self) -> None:
-        """Refuse what is sent from now on."""
+    def start_refusing(self) -> None:
+        """Refuse new requests from now on."""
         self._refusing = True
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Stop listening and close all connections."""
         self._server.stop()
         await self._server.close_all_connections()
 
@@ -96,16 +100,18 @@
     ) -> httputil.HTTPMessageDelegate:
         connection = typing.cast(http1connection.HTTP1Connection, request_conn)
         connection.stream.set_nodelay(True)
-        return _Exchange(self, connection)
+        return _ExchangeHandler(self, connection)
 
 
-class _Exchange(httputil.HTTPMessageDelegate):
-    """One request of a caller; its task runs until the answer is written."""
+class _ExchangeHandler(httputil.HTTPMessageDelegate):
+    """Handles one request; its task runs until the answer is written."""
 
     def __init__(
-        self, entry: Entry, connection: http1connection.HTTP1Connection
+        self,
+        caller_server: CallerServer,
+        connection: http1connection.HTTP1Connection,
     ) -> None:
-        self._entry = entry
+        self._caller_server = caller_server
         self._connection = connection
         self._stream = connection.stream
         self._start_line: httputil.RequestStartLine | None = None
@@ -116,10 +122,10 @@
 
     @property
     def started(self) -> bool:
-        """Whether the head of an answer was written."""
+        """Whether the head of an answer has been written."""
         return self._started
 
-    # -- what tornado's parser calls -------------------------------------
+    # -- httputil.HTTPMessageDelegate ------------------------------------
 
     def headers_received(
         self, start_line: typing.Any, headers: httputil.HTTPHeaders
@@ -131,13 +137,13 @@
         self._body += chunk
 
     def finish(self) -> None:
-        self._connection.set_close_callback(self._on_gone)
+        self._connection.set_close_callback(self._on_closed)
         self._task = asyncio.create_task(self._serve())
 
     def on_connection_close(self) -> None:
-        self._on_gone()
+        self._on_closed()
 
-    def _on_gone(self) -> None:
+    def _on_closed(self) -> None:
         if self._task is not None:
             self._task.cancel()
 
@@ -145,7 +151,7 @@
         try:
             await self._forward()
         except iostream.StreamClosedError:
-            pass  # the caller left; the forwarder has said so
+            pass  # the caller disconnected; the forwarder has logged it
         except Exception as error:
             logs.emit(events.REQUEST_FAILED, error=repr(error), exc_info=True)
             self._stream.close()
@@ -153,24 +159,24 @@
     async def _forward(self) -> None:
         assert self._start_line is not None
         try:
-            if self._entry.refusing:
+            if self._caller_server.refusing:
                 raise errors.Draining(retry_after=0.1)
             request = gateway_headers.decode(
                 self._start_line,
                 self._headers,
                 bytes(self._body),
-                self._entry.names,
-                _LONGEST_S,
+                self._caller_server.names,
+                _DEFAULT_DEADLINE_S,
             )
         except errors.HoneyportError as error:
             await self.refuse(error)
             return
-        await self._entry.forwarder.serve(request, self)
+        await self._caller_server.forwarder.serve(request, self)
 
-    # -- what the forwarder calls ----------------------------------------
+    # -- exchanges.Reply -------------------------------------------------
 
     async def begin(self, head: attempt.Head) -> None:
-        headers = self._passed_back(head)
+        headers = self._forwarded_headers(head)
         await self._write_head(head.status, head.reason, headers)
 
     async def write(self, chunk: bytes) -> None:
@@ -180,7 +186,7 @@
         self._connection.finish()
 
     async def answer(self, head: attempt.Head, body: bytes) -> None:
-        headers = self._passed_back(head)
+        headers = self._forwarded_headers(head)
         if head.status not in (204, 304):
             headers['Content-Length'] = str(len(body))
         await self._write_head(head.status, head.reason, headers, body)
@@ -193,11 +199,11 @@
         body = json.dumps({'error': error.to_dict()}).encode()
         headers = httputil.HTTPHeaders({'Content-Type': 'application/json'})
         headers['Content-Length'] = str(len(body))
-        request_id = self._headers.get(self._entry.names.request_id)
+        request_id = self._headers.get(self._caller_server.names.request_id)
         if request_id:
-            headers[self._entry.names.request_id] = request_id
+            headers[self._caller_server.names.request_id] = request_id
         if isinstance(error, errors.NotReady):
-            # What its caller sends next is better sent elsewhere, too.
+            # Further requests of this caller should go to another gateway.
             headers['Connection'] = 'close'
         if error.retry_after is not None:
             headers['Retry-After'] = f'{error.retry_after:.2f}'
@@ -205,8 +211,10 @@
         await self._write_head(error.status, reason, headers, body)
         self._connection.finish()
 
-    def _passed_back(self, head: attempt.Head) -> httputil.HTTPHeaders:
-        return gateway_headers.answer_headers(head.headers, self._entry.names)
+    def _forwarded_headers(self, head: attempt.Head) -> httputil.HTTPHeaders:
+        return gateway_headers.answer_headers(
+            head.headers, self._caller_server.names
+        )
 
     async def _write_head(
         self,
@@ -216,7 +224,7 @@
         body: bytes | None = None,
     ) -> None:
         self._started = True
-        if self._entry.closing:
+        if self._caller_server.closing:
             headers['Connection'] = 'close'
-        line = httputil.ResponseStartLine('HTTP/1.1', status, reason)
-        await self._connection.write_headers(line, headers, body or None)
+        start_line = httputil.ResponseStartLine('HTTP/1.1', status, reason)
+        await self._connection.write_headers(start_line, headers, body or None)
--- a/src/honeyport/gateway/sse.py
+++ b/src/honeyport/gateway/sse.py
@@ -1,51 +1,53 @@
-"""Cutting an event stream where an event ends."""
+"""Splitting of server-sent event streams at event boundaries."""
 
-_FIELD = b'id:'
+_ID_FIELD = b'id:'
 
 
-class Splitter:
-    """Holds back the start of an event until the rest is there.
+class EventSplitter:
+    """Buffers a partial event until it is complete.
 
-    A stream that breaks off can then go on at another instance, from the
-    last event that the caller has in full.
+    Callers only get complete events, so that a broken stream can be resumed
+    on another instance after the last event.
     """
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._partial = b''
         self._last_id = ''
 
     @property
     def last_id(self) -> str:
-        """The identifier of the last whole event, or ``''``."""
+        """Id of the last complete event, or ``''``."""
         return self._last_id
 
     def feed(self, chunk: bytes) -> bytes:
-        """Return the whole events that a chunk completes."""
-        data = self._rest + chunk
-        end = max(_after(data, b'\n\n'), _after(data, b'\r\n\r\n'))
-        self._rest = data[end:]
-        whole = data[:end]
-        found = _last_id(whole)
-        if found:
-            self._last_id = found
-        return whole
-
-    def rest(self) -> bytes:
-        """Return what follows the last whole event, at a stream's end."""
-        return self._rest
-
-    def restart(self) -> None:
-        """Forget the cut event: another instance sends it whole."""
-        self._rest = b''
-
-
-def _after(data: bytes, mark: bytes) -> int:
-    start = data.rfind(mark)
-    return start + len(mark) if start >= 0 else 0
-
-
-def _last_id(whole: bytes) -> str:
-    for line in reversed(whole.splitlines()):
-        if line.startswith(_FIELD):
-            return line[len(_FIELD) :].strip().decode('ascii', 'replace')
+        """Add a chunk and return the events that are now complete."""
+        data = self._partial + chunk
+        end = max(_end_of_last(data, b'\n\n'), _end_of_last(data, b'\r\n\r\n'))
+        self._partial = data[end:]
+        complete = data[:end]
+        last_id = _last_id(complete)
+        if last_id:
+            self._last_id = last_id
+        return complete
+
+    def partial(self) -> bytes:
+        """Return the bytes after the last complete event."""
+        return self._partial
+
+    def discard_partial(self) -> None:
+        """Discard the partial event; another instance sends it again."""
+        self._partial = b''
+
+
+def _end_of_last(data: bytes, separator: bytes) -> int:
+    """Return the offset after the last separator, or 0."""
+    start = data.rfind(separator)
+    return start + len(separator) if start >= 0 else 0
+
+
+def _last_id(complete: bytes) -> str:
+    """Return the last event id in complete events, or ``''``."""
+    for line in reversed(complete.splitlines()):
+        if line.startswith(_ID_FIELD):
+            return line[len(_ID_FIELD) :].strip().decode('ascii', 'replace')
     return ''
