--- a/features/control/sizes.feature
+++ b/features/control/sizes.feature
@@ -1,74 +1,72 @@
-Feature: What a leader sends and keeps with 300 gateways before 3,000 instances
+Feature: Traffic and buffers of a leader with 300 gateways and 3,000 instances
 
-  # A process may have 200 MB, and so do all streams of a leader together. Its
-  # link takes 12.5 MB a second, so that all of them stand again in two. Callers
-  # keep a list of routers for a second at least: five a second are enough.
-  Scenario: all gateways come back at once
+  # All streams of a leader share a link of 12.5 MB/s and 200 MB of memory.
+  Scenario: all gateways reconnect at once
     Given a leader with a list of 3000 instances
     When 300 gateways attach within 20 ticks
     Then each stream is sent at most 80 kB
-    And no stream is sent a list of routers more than 8 times
+    And no stream is sent the list of routers more than 8 times
 
-  Scenario: one instance leaves
+  Scenario: one instance is leaving
     Given a leader with a list of 3000 instances
-    And 300 gateways that were told everything
+    And 300 gateways that are up to date
     When one instance is listed as leaving
     Then each stream is sent at most 300 bytes
-    And each gateway knows the list of the leader
+    And each gateway has the leader's instance list
 
-  # Loads named instances by the indexes of a newer list than the one that the
-  # gateways had: their streams ended with an error, 12 in a second.
-  Scenario: the list changes while the streams take what there is
+  # Loads refer to instances by their index: a gateway must have the list that
+  # the loads refer to.
+  Scenario: the instance list changes between a tick and the reads
     Given a leader with a list of 3000 instances
-    And 30 gateways that were told everything
-    When they report other loads, and instances leave the list between two ticks
-    Then each gateway knows the list of the leader
-    And each gateway knows what runs on every instance
+    And 30 gateways that are up to date
+    When they report new loads while instances leave the list between two ticks
+    Then each gateway has the leader's instance list
+    And each gateway has the load of every instance
 
-  Scenario: configurations are committed while the streams take what there is
+  Scenario: configurations are committed between a tick and the reads
     Given a leader with a list of 3000 instances
-    And 30 gateways that were told everything
+    And 30 gateways that are up to date
     When 5 configurations are committed, each between two ticks
-    Then each gateway has the latest configuration, and none started over
+    Then each gateway has the latest configuration and none is disconnected
 
-  Scenario: a gateway takes off the report of its own that the sums contain
+  Scenario: a gateway can subtract its own report from the load sums
     Given a leader with a list of 3000 instances
-    And 3 gateways that were told everything
-    When one of them reports, and a tick passes before it takes the answer
-    Then the answer names that report as counted
+    And 3 gateways that are up to date
+    When one gateway reports and a tick passes before it reads the answer
+    Then the answer marks that report as counted
 
-  Scenario: one gateway dies
+  Scenario: one gateway disconnects
     Given a leader with a list of 3000 instances
-    And 300 gateways that were told everything
-    When one of them is gone
+    And 300 gateways that are up to date
+    When one of the gateways disconnects
     Then each stream is sent at most 300 bytes
-    And each gateway knows the others
+    And each gateway has the list of the remaining gateways
 
-  Scenario: a reader that lags
+  Scenario: one gateway reads slowly
     Given a leader with a list of 3000 instances
-    And 3 gateways that were told everything
-    When one of them takes nothing while the list changes 100 times
-    Then at most 1 kB wait for it meanwhile
-    And it is sent at most 60 kB once it takes something
-    And each gateway knows the list of the leader
+    And 3 gateways that are up to date
+    When one gateway reads nothing while the list changes 100 times
+    Then at most 1 kB is queued for it
+    And it is sent at most 60 kB when it reads again
+    And each gateway has the leader's instance list
 
-  Scenario: another leader has read the same list
+  Scenario: a new leader has the same instance list
     Given a leader with a list of 3000 instances
-    And 300 gateways that were told everything
-    When another replica leads, and all of them attach to it
+    And 300 gateways that are up to date
+    When another replica leads and all gateways attach to it
     Then each stream is sent at most 20 kB
-    And each gateway knows the list of the leader
+    And each gateway has the leader's instance list
 
-  Scenario: another leader has read another list
+  Scenario: a new leader has a different instance list
     Given a leader with a list of 3000 instances
-    And 300 gateways that were told everything
-    When another replica leads that has not seen one instance, and all attach
+    And 300 gateways that are up to date
+    When another replica with one instance fewer leads and all attach to it
     Then each stream is sent at most 20 kB
-    And each gateway knows the list of the leader
+    And each gateway has the leader's instance list
 
-  Scenario: all instances run more or less than before
+  Scenario: the loads of all instances change
     Given a leader with a list of 3000 instances
-    And 300 gateways that were told everything
-    When each of them reports other loads
+    And 300 gateways that are up to date
+    When each gateway reports new loads
     Then each stream is sent at most 12 kB
-    And each gateway knows what runs on every instance
+    And each gateway has the load of every instance
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what a leader sends and keeps at the size it is made for."""
+"""Steps about traffic and buffers of a leader at its design size."""
 
 import asyncio
 import random
@@ -19,50 +19,52 @@
 
 _TICK_S = 0.05
 _DOMAINS = ('thu-duc', 'tan-binh', 'binh-chanh')
-_INSTANCES = 3000
-_TICKS_A_REPORT = 5
+_INSTANCE_COUNT = 3000
+_TICKS_PER_REPORT = 5
 
 
 class Gateway:
-    """What one gateway knows, and what was sent to it."""
+    """State of one gateway, and counters of what was sent to it."""
 
     def __init__(self, number):
         self.number = number
         self.state = fleetstate.FleetState()
         self.session = None
-        self.sent = 0
-        self.presences = 0
-        self.takes = True
-        self.reports = 0
+        self.sent_bytes = 0
+        self.presences_received = 0
+        self.is_reading = True
+        self.report_count = 0
         self.running = ()
 
     def hello(self):
-        """Return how it introduces itself."""
-        made = leading.hello(self.number)
-        made.no_view = True
-        listed = self.state.instances
-        made.instances = listed.number
-        if listed.number:
-            made.instances_digests = listing.digests(listed.instances)
-        return made
+        """Return its hello message."""
+        message = leading.hello(self.number)
+        message.no_view = True
+        instances = self.state.instances
+        message.instances = instances.number
+        if instances.number:
+            message.instances_digests = listing.digests(instances.instances)
+        return message
 
     def report(self):
-        """Return its next report."""
-        self.reports += 1
-        made = pb.Report(number=self.reports, stamp=1)
+        """Return its next load report."""
+        self.report_count += 1
+        message = pb.Report(number=self.report_count, stamp=1)
         for name in self.running:
-            made.residuals.add(backend=name, running=1)
-        return made
+            message.residuals.add(backend=name, running=1)
+        return message
 
-    def take(self, items):
-        """Take what comes on its stream."""
-        self.sent += pb.ControlBatch(items=items).ByteSize() if items else 0
+    def apply(self, items):
+        """Apply the items sent on its stream."""
+        self.sent_bytes += (
+            pb.ControlBatch(items=items).ByteSize() if items else 0
+        )
         for item in items:
             if item.HasField('instances'):
-                found = listing.apply(self.state.instances, item.instances)
-                self.state.apply_instances(found)
+                instances = listing.apply(self.state.instances, item.instances)
+                self.state.apply_instances(instances)
             elif item.HasField('presence'):
-                self.presences += 1
+                self.presences_received += 1
                 self.state.apply_presence(item.presence)
             elif item.HasField('config'):
                 self.state.apply_config(item.config)
@@ -71,30 +73,30 @@
 
 
 class Leader:
-    """The leader's side of all streams, on a virtual clock."""
+    """A leader with router streams on a virtual clock."""
 
     def __init__(self, term=1):
         self.loop = simulation.VirtualLoop()
         self.node = leading.LeaderStub()
         self.node.term = term
-        self.lists = instance_lists.InstanceLists()
+        self.instance_lists = instance_lists.InstanceLists()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
-        self.streams.use_instance_lists(self.lists)
+        self.streams.use_instance_lists(self.instance_lists)
         self.run(self._begin())
         self.gateways = []
         self.ticks = 0
-        self.commits = []  # versions, likewise
-        self.changes = []  # lists that come between a tick and what follows
+        self.pending_versions = []  # to commit after a tick
+        self.pending_lists = []  # to set after a tick
 
     def run(self, coroutine):
-        """Run something on the virtual clock."""
+        """Run a coroutine on the virtual clock."""
         return self.loop.run_until_complete(coroutine)
 
     async def _begin(self):
         self.streams._watch_leadership()
 
     def commit(self, version):
-        """Commit a configuration that names one service."""
+        """Commit a configuration with one service."""
         bundle = model.Bundle(
             version=version,
             signers=model.Signers(keys={}),
@@ -109,79 +111,87 @@
 
     async def attach(self, gateways):
         """Open the streams of gateways."""
-        for one in gateways:
-            one.session = self.streams._open(one.hello())
-            self.gateways.append(one)
-
-    def list(self, instances):
-        """Take a new list of instances."""
-        number = (self.node.term << 24) + self.lists.number % (1 << 24) + 1
-        self.lists.replace(number, instances)
+        for gateway in gateways:
+            gateway.session = self.streams._open(gateway.hello())
+            self.gateways.append(gateway)
+
+    def set_instances(self, instances):
+        """Set a new list of instances."""
+        number = (
+            (self.node.term << 24) + self.instance_lists.number % (1 << 24) + 1
+        )
+        self.instance_lists.replace(number, instances)
 
     async def tick(self, count=1):
-        """Let ticks pass; who takes something, takes all.
+        """Run ticks; gateways that read, read all pending items.
 
-        A fifth of the gateways report at each of them.
+        Every gateway reports once in ``_TICKS_PER_REPORT`` ticks.
         """
         for _ in range(count):
             await asyncio.sleep(_TICK_S)
             self.ticks += 1
-            for one in self.gateways:
+            for gateway in self.gateways:
                 if (
-                    one.number % _TICKS_A_REPORT
-                    == self.ticks % _TICKS_A_REPORT
+                    gateway.number % _TICKS_PER_REPORT
+                    == self.ticks % _TICKS_PER_REPORT
                 ):
-                    self.streams._handle_report(one.session, one.report())
+                    self.streams._handle_report(
+                        gateway.session, gateway.report()
+                    )
             self.streams._tick()
-            while self.changes:
-                self.list(self.changes.pop())
-            for one in self.gateways:
-                # Some take what there is before a commit, and some after it.
-                if self.commits and one.number == len(self.gateways) // 2:
-                    self.commit(self.commits.pop())
-                if one.takes:
-                    one.take(self.streams._take_items(one.session))
+            while self.pending_lists:
+                self.set_instances(self.pending_lists.pop())
+            for gateway in self.gateways:
+                # Half of the gateways read before a commit, half after it.
+                if (
+                    self.pending_versions
+                    and gateway.number == len(self.gateways) // 2
+                ):
+                    self.commit(self.pending_versions.pop())
+                if gateway.is_reading:
+                    gateway.apply(self.streams._take_items(gateway.session))
 
     def close(self, gateway):
-        """End the stream of a gateway that died."""
+        """Close the stream of a gateway."""
         self.gateways.remove(gateway)
         self.streams._close(gateway.session)
         self.streams.fleet.mark_silent(gateway.session.router)
 
 
-def _instances(seed=1):
-    drawn = random.Random(seed)
-    found = []
-    for _ in range(_INSTANCES):
-        name = f'i-{drawn.getrandbits(40):010x}'
-        found.append(
+def _make_instances(seed=1):
+    random_source = random.Random(seed)
+    instances = []
+    for _ in range(_INSTANCE_COUNT):
+        name = f'i-{random_source.getrandbits(40):010x}'
+        instances.append(
             pb.Instance(
                 id=name,
                 service='hupu25a',
-                address=f'10.{drawn.randrange(1, 4)}.{drawn.randrange(64, 80)}'
-                f'.{drawn.randrange(2, 250)}:8227',
-                domain=drawn.choice(_DOMAINS),
+                address=f'10.{random_source.randrange(1, 4)}'
+                f'.{random_source.randrange(64, 80)}'
+                f'.{random_source.randrange(2, 250)}:8227',
+                domain=random_source.choice(_DOMAINS),
                 slots=64,
                 place=name,
             )
         )
-    return sorted(found, key=lambda one: one.id)
+    return sorted(instances, key=lambda instance: instance.id)
 
 
 @behave.given('a leader with a list of 3000 instances')
 def step_leader(context):
     context.leader = Leader()
-    context.listed = _instances()
-    context.leader.list(context.listed)
+    context.listed_instances = _make_instances()
+    context.leader.set_instances(context.listed_instances)
     context.gateways = []
 
 
-@behave.given('{count:d} gateways that were told everything')
+@behave.given('{count:d} gateways that are up to date')
 def step_gateways(context, count):
     context.gateways = [Gateway(number) for number in range(count)]
     context.leader.run(context.leader.attach(context.gateways))
     context.leader.run(context.leader.tick(10))
-    _forget_sent(context)
+    _reset_sent_bytes(context)
 
 
 @behave.when('300 gateways attach within 20 ticks')
@@ -200,87 +210,87 @@
 
 @behave.when('one instance is listed as leaving')
 def step_leaving(context):
-    context.listed = [
-        pb.Instance.FromString(one.SerializeToString())
-        for one in context.listed
+    context.listed_instances = [
+        pb.Instance.FromString(instance.SerializeToString())
+        for instance in context.listed_instances
     ]
-    context.listed[7].leaving = True
-    context.leader.list(context.listed)
+    context.listed_instances[7].leaving = True
+    context.leader.set_instances(context.listed_instances)
     context.leader.run(context.leader.tick(10))
 
 
-@behave.when('one of them is gone')
-def step_gone(context):
-    context.gone = context.gateways.pop(2)
-    context.leader.close(context.gone)
+@behave.when('one of the gateways disconnects')
+def step_disconnect(context):
+    context.disconnected = context.gateways.pop(2)
+    context.leader.close(context.disconnected)
     context.leader.run(context.leader.tick(10))
 
 
-@behave.when('one of them takes nothing while the list changes 100 times')
-def step_lags(context):
-    context.lagging = context.gateways[2]
-    context.lagging.takes = False
+@behave.when('one gateway reads nothing while the list changes 100 times')
+def step_slow_reader(context):
+    context.slow_gateway = context.gateways[2]
+    context.slow_gateway.is_reading = False
 
     async def change():
         for number in range(100):
-            context.listed = list(context.listed)
-            context.listed[number] = pb.Instance(
-                id=context.listed[number].id, leaving=True
+            context.listed_instances = list(context.listed_instances)
+            context.listed_instances[number] = pb.Instance(
+                id=context.listed_instances[number].id, leaving=True
             )
-            context.leader.list(context.listed)
+            context.leader.set_instances(context.listed_instances)
             await context.leader.tick()
 
     context.leader.run(change())
-    box = context.lagging.session.outbox
-    context.waiting = pb.ControlBatch(items=box._items).ByteSize()
-    _forget_sent(context)
-    context.lagging.takes = True
+    outbox = context.slow_gateway.session.outbox
+    context.queued_bytes = pb.ControlBatch(items=outbox._items).ByteSize()
+    _reset_sent_bytes(context)
+    context.slow_gateway.is_reading = True
     context.leader.run(context.leader.tick(2))
 
 
-@behave.when('another replica leads, and all of them attach to it')
+@behave.when('another replica leads and all gateways attach to it')
 def step_other_leader(context):
-    _lead_anew(context)
+    _change_leader(context)
 
 
 @behave.when(
-    'another replica leads that has not seen one instance, and all attach'
+    'another replica with one instance fewer leads and all attach to it'
 )
 def step_other_list(context):
-    context.listed = context.listed[1:]
-    _lead_anew(context)
+    context.listed_instances = context.listed_instances[1:]
+    _change_leader(context)
 
 
-@behave.when('each of them reports other loads')
+@behave.when('each gateway reports new loads')
 def step_report(context):
-    drawn = random.Random(1)
-    _draw_running(context, drawn)
-    context.leader.run(context.leader.tick(2 * _TICKS_A_REPORT))
+    random_source = random.Random(1)
+    _draw_loads(context, random_source)
+    context.leader.run(context.leader.tick(2 * _TICKS_PER_REPORT))
 
 
 @behave.when(
-    'they report other loads, and instances leave the list between two ticks'
+    'they report new loads while instances leave the list between two ticks'
 )
-def step_between(context):
-    drawn = random.Random(1)
+def step_change_between_ticks(context):
+    random_source = random.Random(1)
 
     async def change():
         for _ in range(20):
-            context.listed = context.listed[1:]
-            _draw_running(context, drawn)
-            context.leader.changes.append(context.listed)
+            context.listed_instances = context.listed_instances[1:]
+            _draw_loads(context, random_source)
+            context.leader.pending_lists.append(context.listed_instances)
             await context.leader.tick()
-        await context.leader.tick(2 * _TICKS_A_REPORT)
+        await context.leader.tick(2 * _TICKS_PER_REPORT)
 
     context.leader.run(change())
 
 
 @behave.when(
-    'one of them reports, and a tick passes before it takes the answer'
+    'one gateway reports and a tick passes before it reads the answer'
 )
 def step_report_late(context):
     gateway = context.gateways[0]
-    gateway.running = (context.listed[0].id,)
+    gateway.running = (context.listed_instances[0].id,)
 
     async def report():
         streams = context.leader.streams
@@ -291,13 +301,13 @@
     context.leader.run(report())
 
 
-@behave.then('the answer names that report as counted')
+@behave.then('the answer marks that report as counted')
 def step_counted(context):
     gateway = context.gateways[0]
     [answer] = [
         item.answer for item in context.items if item.HasField('answer')
     ]
-    assert answer.counted == gateway.reports, answer
+    assert answer.counted == gateway.report_count, answer
     kinds = [item.WhichOneof('item') for item in context.items]
     assert 'loads' in kinds, kinds
 
@@ -308,7 +318,7 @@
 
     async def commit():
         for version in range(1, count + 1):
-            context.leader.commits.append(version)
+            context.leader.pending_versions.append(version)
             await context.leader.tick()
         await context.leader.tick(2)
 
@@ -316,86 +326,94 @@
 
 
 @behave.then(
-    'each gateway has the latest configuration, and none started over'
+    'each gateway has the latest configuration and none is disconnected'
 )
 def step_has_configuration(context):
-    for one in context.gateways:
-        assert one.state.version == context.version, one.state.version
+    for gateway in context.gateways:
+        assert gateway.state.version == context.version, gateway.state.version
 
 
-@behave.then('each stream is sent at most {most:d} kB')
-def step_kilobytes(context, most):
-    _check_sent(context, most * 1000)
+@behave.then('each stream is sent at most {limit:d} kB')
+def step_kilobytes(context, limit):
+    _check_sent_bytes(context, limit * 1000)
 
 
-@behave.then('each stream is sent at most {most:d} bytes')
-def step_bytes(context, most):
-    _check_sent(context, most)
+@behave.then('each stream is sent at most {limit:d} bytes')
+def step_bytes(context, limit):
+    _check_sent_bytes(context, limit)
 
 
-@behave.then('no stream is sent a list of routers more than {most:d} times')
-def step_presences(context, most):
-    found = max(one.presences for one in context.gateways)
-    assert found <= most, found
+@behave.then('no stream is sent the list of routers more than {limit:d} times')
+def step_presences(context, limit):
+    max_received = max(
+        gateway.presences_received for gateway in context.gateways
+    )
+    assert max_received <= limit, max_received
 
 
-@behave.then('each gateway knows the list of the leader')
-def step_knows(context):
-    for one in context.gateways:
-        found = one.state.instances
-        assert found.number == context.leader.lists.number
-        assert list(found.instances) == context.listed
+@behave.then("each gateway has the leader's instance list")
+def step_has_instances(context):
+    for gateway in context.gateways:
+        instances = gateway.state.instances
+        assert instances.number == context.leader.instance_lists.number
+        assert list(instances.instances) == context.listed_instances
 
 
-@behave.then('each gateway knows the others')
-def step_knows_others(context):
-    wanted = {leading.hello(one.number).router for one in context.gateways}
-    for one in context.gateways:
-        found = {member.router for member in one.state.serving_routers}
-        assert found == wanted, wanted ^ found
+@behave.then('each gateway has the list of the remaining gateways')
+def step_has_gateways(context):
+    expected = {
+        leading.hello(gateway.number).router for gateway in context.gateways
+    }
+    for gateway in context.gateways:
+        routers = {member.router for member in gateway.state.serving_routers}
+        assert routers == expected, expected ^ routers
 
 
-@behave.then('each gateway knows what runs on every instance')
-def step_knows_loads(context):
-    wanted = {name: count for name, count in context.running.items() if count}
-    for one in context.gateways:
-        assert one.state.running_elsewhere == wanted
+@behave.then('each gateway has the load of every instance')
+def step_has_loads(context):
+    expected = {
+        name: count for name, count in context.running.items() if count
+    }
+    for gateway in context.gateways:
+        assert gateway.state.running_elsewhere == expected
 
 
-@behave.then('at most 1 kB wait for it meanwhile')
+@behave.then('at most 1 kB is queued for it')
 def step_waiting(context):
-    assert context.waiting <= 1000, context.waiting
+    assert context.queued_bytes <= 1000, context.queued_bytes
 
 
-@behave.then('it is sent at most 60 kB once it takes something')
+@behave.then('it is sent at most 60 kB when it reads again')
 def step_lagging(context):
-    assert context.lagging.sent <= 60_000, context.lagging.sent
+    assert context.slow_gateway.sent_bytes <= 60_000, (
+        context.slow_gateway.sent_bytes
+    )
 
 
-def _draw_running(context, drawn):
-    """Have each gateway run requests on ten instances of the list."""
-    names = [one.id for one in context.listed]
+def _draw_loads(context, random_source):
+    """Let each gateway run requests on ten random instances."""
+    names = [instance.id for instance in context.listed_instances]
     context.running = dict.fromkeys(names, 0)
-    for one in context.gateways:
-        one.running = drawn.sample(names, 10)
-        for name in one.running:
+    for gateway in context.gateways:
+        gateway.running = random_source.sample(names, 10)
+        for name in gateway.running:
             context.running[name] += 1
 
 
-def _lead_anew(context):
-    former = context.leader
-    context.leader = Leader(term=former.node.term + 1)
-    context.leader.list(context.listed)
+def _change_leader(context):
+    former_leader = context.leader
+    context.leader = Leader(term=former_leader.node.term + 1)
+    context.leader.set_instances(context.listed_instances)
     context.leader.run(context.leader.attach(context.gateways))
-    _forget_sent(context)
+    _reset_sent_bytes(context)
     context.leader.run(context.leader.tick(10))
 
 
-def _forget_sent(context):
-    for one in context.gateways:
-        one.sent = 0
+def _reset_sent_bytes(context):
+    for gateway in context.gateways:
+        gateway.sent_bytes = 0
 
 
-def _check_sent(context, most):
-    found = max(one.sent for one in context.gateways)
-    assert found <= most, found
+def _check_sent_bytes(context, limit):
+    max_sent = max(gateway.sent_bytes for gateway in context.gateways)
+    assert max_sent <= limit, max_sent
