--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -137,7 +137,7 @@
         others = [one for one in _ROUTERS if one != name]
         for server in _SERVERS:
             wanted = sum(setting.running[one][server] for one in others)
-            assert state.residual(server) == wanted, (name, server)
+            assert state.running_elsewhere_on(server) == wanted, (name, server)
 
 
 @behave.then('the next message names the first alone')
@@ -162,8 +162,10 @@
 @behave.then('no router knows of any request')
 def step_none(context):
     for state in context.setting.states.values():
-        assert not any(state.residual(server) for server in _SERVERS)
+        assert not any(
+            state.running_elsewhere_on(server) for server in _SERVERS
+        )
         assert not state.running_elsewhere
-        assert not state._others._running, (
+        assert not state._peer_loads._running, (
             'names of what is gone must not pile up'
         )
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -33,17 +33,17 @@
         state.apply_view(view)
         loop = asyncio.get_running_loop()
         state.renew_lease(loop.time(), 60_000)
-        made = steward.Steward(
+        controller = steward.AdmissionController(
             'r1',
             state,
             metrics.Metrics(),
             lambda: None,
             suspects.SuspectTracker(metrics.Metrics()),
         )
-        made.regard_bundle()
-        return made
+        controller.sync_servers()
+        return controller
 
-    context.steward = context.run(make())
+    context.admission = context.run(make())
     context.engines = [f'engine-{number}' for number in range(count)]
     context.calls = []
 
@@ -105,12 +105,12 @@
 
 @behave.when('{seconds:g} s pass with a settled view')
 def step_pass(context, seconds):
-    made = context.steward
+    controller = context.admission
 
     async def pass_by():
-        for slot in made._slots.values():
-            slot.ready = True
-            made._admit_waiting(slot)
+        for server in controller._servers.values():
+            server.ready = True
+            controller._admit_waiting(server)
         await asyncio.sleep(seconds)
 
     context.run(pass_by())
@@ -127,7 +127,7 @@
     async def begin():
         for name in context.engines:
             for _ in range(each):
-                task = asyncio.ensure_future(first(context.steward, name))
+                task = asyncio.ensure_future(first(context.admission, name))
                 context.calls.append(task)
         await asyncio.sleep(0.01)
 
@@ -135,7 +135,7 @@
     assert len(context.calls) == count
 
 
-async def first(made, name):
+async def first(controller, name):
     """Wait for the first frame of an answer."""
     loop = asyncio.get_running_loop()
     call = exchange.Call(
@@ -148,15 +148,18 @@
         deadline=loop.time() + 60,
         patience_s=60,
     )
-    return await anext(made.answer(call, name))
+    return await anext(controller.answer(call, name))
 
 
 @behave.then('each engine may run {count:d} calls')
 def step_may_run(context, count):
-    made = context.steward
+    controller = context.admission
 
     async def look():
-        return {made._limit(made._slots[name]) for name in context.engines}
+        return {
+            controller._concurrency_limit(controller._servers[name])
+            for name in context.engines
+        }
 
     limits = context.run(look())
     stop_calls(context)
@@ -166,16 +169,16 @@
 @behave.when('the lease lapses and the view is settled after that')
 def step_lapse(context):
     async def lapse():
-        state = context.steward._state
+        state = context.admission._state
         state._lease_until = asyncio.get_running_loop().time() - 1
         state.apply_loads(pb.Loads(settled=1, settled_version=1))
-        for slot in context.steward._slots.values():
-            slot.ready = True
+        for server in context.admission._servers.values():
+            server.ready = True
         tasks = [
-            asyncio.ensure_future(context.steward.settle()),
-            asyncio.ensure_future(context.steward.watch()),
+            asyncio.ensure_future(context.admission.run_admission()),
+            asyncio.ensure_future(context.admission.run_probes()),
         ]
-        context.steward.notice()
+        context.admission.on_state_changed()
         await asyncio.sleep(0.05)
         for task in tasks:
             task.cancel()
@@ -188,7 +191,7 @@
 def step_refused_waiting(context, code):
     codes = {task.exception().code for task in context.calls}
     assert codes == {code}, codes
-    assert context.steward.running == 0
+    assert context.admission.running == 0
 
 
 @behave.then('all of them still wait')
@@ -196,7 +199,7 @@
     waiting = [not task.done() for task in context.calls]
     stop_calls(context)
     assert all(waiting)
-    assert context.steward.running == 0
+    assert context.admission.running == 0
 
 
 def stop_calls(context):
--- a/src/honeyport/router/claims.py
+++ b/src/honeyport/router/claims.py
@@ -28,7 +28,7 @@
 _State = pb.ClaimAnswer
 
 
-class Guard:
+class IdempotencyGuard:
     """Claims keys and records outcomes."""
 
     def __init__(
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -44,21 +44,21 @@
         self._settings = settings
         self._counters = metrics.Metrics()
         self._state = fleetstate.FleetState()
-        self._links = relay.Links()
+        self._links = relay.PeerLinks()
         self._gate = edge.Gate()
         self._tracer = traces.create(settings.traces, settings.name)
         self._suspects = suspects.SuspectTracker(self._counters)
-        self._steward = steward.Steward(
+        self._steward = steward.AdmissionController(
             settings.name,
             self._state,
             self._counters,
-            self._hurry,
+            self._report_soon,
             self._suspects,
         )
         self._session = session.Session(
             settings,
             self._state,
-            self._steward.fill,
+            self._steward.add_loads,
             self._on_view,
             self._on_news,
             self._suspects,
@@ -71,8 +71,10 @@
             self._links,
             self._counters,
         )
-        self._guard = claims.Guard(settings.name, self._state, self._session)
-        self._layout = 0
+        self._guard = claims.IdempotencyGuard(
+            settings.name, self._state, self._session
+        )
+        self._backends_revision = 0
 
     @property
     def state(self) -> fleetstate.FleetState:
@@ -95,8 +97,8 @@
         tree.on_stop('peers', lambda: peers.stop(_STOP_GRACE_S))
         tree.task('session', self._session.run)
         tree.on_stop('steward', self._close_steward)
-        tree.task('settle', self._steward.settle)
-        tree.task('probes', self._steward.watch)
+        tree.task('settle', self._steward.run_admission)
+        tree.task('probes', self._steward.run_probes)
         server = self._listen()
         tree.on_stop('http', supervisor.closer(server))
         tree.on_stop('drain', self._drain)
@@ -124,7 +126,7 @@
 
     async def _drain(self) -> None:
         """Leave: no new work, finish what runs, hand engines over."""
-        self._gate.shut()
+        self._gate.close()
         self._session.announce_leaving()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._settings.drain_s):
@@ -157,21 +159,21 @@
 
     def _on_news(self) -> None:
         """Bring slots in line with what control said."""
-        if self._layout != self._state.layout:
-            self._layout = self._state.layout
-            self._steward.regard_bundle()
-        self._steward.notice()
+        if self._backends_revision != self._state.backends_revision:
+            self._backends_revision = self._state.backends_revision
+            self._steward.sync_servers()
+        self._steward.on_state_changed()
 
     def _on_view(self, followed: bool) -> None:
-        self._steward.regard_view(followed)
-        task = asyncio.create_task(self._links.keep(self._state.peers))
+        self._steward.on_view_applied(followed)
+        task = asyncio.create_task(self._links.retain(self._state.peers))
         self._closing = task
 
-    def _hurry(self) -> None:
-        self._session.hurry()
+    def _report_soon(self) -> None:
+        self._session.report_soon()
 
     def _ready(self) -> str:
-        if self._gate.is_shut:
+        if self._gate.is_closed:
             return 'leaving'
         if not self._state.version:
             return 'no configuration yet'
--- a/src/honeyport/router/discovery.py
+++ b/src/honeyport/router/discovery.py
@@ -31,7 +31,7 @@
         hint = self.get_argument('placement', '')
         bundle = state.bundle
         names = services.dispatcher.candidates(service, chat, hint)
-        routers = dict.fromkeys(state.steward(name) for name in names)
+        routers = dict.fromkeys(state.owner(name) for name in names)
         for router in state.members:
             routers.setdefault(router)
         addresses = [
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -46,8 +46,8 @@
         self,
         name: str,
         state: fleetstate.FleetState,
-        local: steward.Steward,
-        links: relay.Links,
+        local: steward.AdmissionController,
+        links: relay.PeerLinks,
         counters: metrics.Metrics,
     ) -> None:
         self._name = name
@@ -210,7 +210,7 @@
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
         """Send a call to the steward of a backend server."""
-        name = self._state.steward(backend)
+        name = self._state.owner(backend)
         answer = self._route(call, backend, name)
         async with contextlib.aclosing(answer):
             async for frame in answer:
--- a/src/honeyport/router/edge.py
+++ b/src/honeyport/router/edge.py
@@ -56,7 +56,7 @@
     name: str
     state: fleetstate.FleetState
     dispatcher: dispatch.Dispatcher
-    guard: claims.Guard
+    guard: claims.IdempotencyGuard
     tracer: traces.Tracer
     counters: metrics.Metrics
     gate: 'Gate'
@@ -77,11 +77,11 @@
         return self._running
 
     @property
-    def is_shut(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether new requests are refused."""
         return self._shut
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Refuse new requests from now on."""
         self._shut = True
 
--- a/src/honeyport/router/fair_queue.py
+++ b/src/honeyport/router/fair_queue.py
@@ -43,7 +43,7 @@
     def __len__(self) -> int:
         return self._length
 
-    def ahead(self, account: str) -> int:
+    def count_ahead(self, account: str) -> int:
         """Return how many waiting requests would go before a new one."""
         tag = self._start_tag(account)
         return sum(
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -48,10 +48,10 @@
         self._stewards: dict[str, str] = {}
         self._members: dict[str, pb.Member] = {}
         self._near: dict[str, list[str]] = {}
-        self._layout = 0
+        self._backends_revision = 0
         self._lease_until = float('-inf')
         self._heard_as_of = float('-inf')
-        self._others = peer_loads.Others()
+        self._peer_loads = peer_loads.PeerLoads()
         self._down: frozenset[str] = frozenset()
         self._leaving: frozenset[str] = frozenset()
         self._instances = pb.Instances()
@@ -85,7 +85,7 @@
         return self._view.number
 
     @property
-    def is_settled(self) -> bool:
+    def is_converged(self) -> bool:
         """Whether every router with a lease has our view and version.
 
         Only then has each given up what went to another.
@@ -123,7 +123,7 @@
     @property
     def unreachable(self) -> set[str]:
         """The instances that gateways of several domains cannot reach."""
-        return self._others.unreachable
+        return self._peer_loads.unreachable
 
     @property
     def evacuated(self) -> frozenset[str]:
@@ -131,9 +131,9 @@
         return self._evacuated
 
     @property
-    def layout(self) -> int:
+    def backends_revision(self) -> int:
         """Counts the changes to services and backend servers."""
-        return self._layout
+        return self._backends_revision
 
     @property
     def lease_left(self) -> float:
@@ -200,7 +200,7 @@
         """Whether a backend server gets no new work any more."""
         return backend in self._leaving or self._is_evacuated(backend)
 
-    def steward(self, backend: str) -> str:
+    def owner(self, backend: str) -> str:
         """Return the router that stewards a backend server, or ``''``.
 
         A router of the same failure domain goes first, so that losing a
@@ -212,7 +212,7 @@
             self._stewards[backend] = found
         return found
 
-    def is_steward(self, name: str, backend: str) -> bool:
+    def is_owner(self, name: str, backend: str) -> bool:
         """Whether a router stewards a backend server."""
         if name not in self._members:
             return False
@@ -221,8 +221,8 @@
             name, backend, candidates
         )
 
-    def others(self, service: str) -> int:
-        """Return what surely runs or waits at all other routers.
+    def load_elsewhere(self, service: str) -> int:
+        """Return what recent_minimum runs or waits at all other routers.
 
         It is the lesser of the last two things heard, and none where that
         was too long ago: a mean that has fallen since must not be believed.
@@ -231,16 +231,16 @@
         now = asyncio.get_running_loop().time()
         if now - self._heard_as_of > fresh_s:
             return 0
-        return self._others.surely(service)
+        return self._peer_loads.recent_minimum(service)
 
     @property
     def running_elsewhere(self) -> dict[str, int]:
         """What other routers have running, by backend server."""
-        return self._others.by_backend
+        return self._peer_loads.by_backend
 
-    def residual(self, backend: str) -> int:
+    def running_elsewhere_on(self, backend: str) -> int:
         """Return what former stewards still have running there."""
-        return self._others.by_backend.get(backend, 0)
+        return self._peer_loads.by_backend.get(backend, 0)
 
     def apply_config(self, config: pb.Config) -> bool:
         """Take a version; return whether it is in force now.
@@ -281,7 +281,7 @@
         if config.snapshot or any(map(_moves_work, changed)):
             self._pools = _pools(self._bundle)
             self._stewards.clear()
-            self._layout += 1
+            self._backends_revision += 1
         logs.emit(events.CONFIG_APPLIED, version=self._version)
         return True
 
@@ -306,7 +306,7 @@
 
         :raises errors.ListUnusable: if they are those of another list
         """
-        self._others.take(loads, self._instances)
+        self._peer_loads.take(loads, self._instances)
         self._settled = loads.settled
         self._settled_version = loads.settled_version
         self._down = frozenset(loads.down)
@@ -314,7 +314,7 @@
 
     def apply_own_report(self, report: pb.Report) -> None:
         """Take the report of ours that the loads of all contain."""
-        self._others.take_own(report)
+        self._peer_loads.apply_own_report(report)
 
     def apply_presence(self, presence: pb.Presence) -> None:
         """Take the routers that callers may be sent to, or what changed."""
--- a/src/honeyport/router/leader_search.py
+++ b/src/honeyport/router/leader_search.py
@@ -20,7 +20,7 @@
 ENDED = 'ended'
 
 
-class Search:
+class LeaderSearch:
     """What became of each address that was asked for the leader.
 
     :param counters: count all tries by what came of them
@@ -33,14 +33,14 @@
             collections.Counter()
         )
 
-    def open(self, address: str) -> None:
+    def record_opened(self, address: str) -> None:
         """Note that a stream stands."""
         self._is_open = True
         self._failed.clear()
         self._counters.count('control_tries', outcome='opened')
         logs.emit(events.SESSION_OPENED, leader=address)
 
-    def end(self, address: str, reason: str) -> None:
+    def record_ended(self, address: str, reason: str) -> None:
         """Note that a stream ended, or that there was none to be had.
 
         :param reason: one of the names above, a gRPC status in small
--- a/src/honeyport/router/peer_loads.py
+++ b/src/honeyport/router/peer_loads.py
@@ -13,7 +13,7 @@
 Counts = dict[str, int]
 
 
-class Others:
+class PeerLoads:
     """The latest sums, without our own part."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         """The instances that gateways of several domains cannot reach."""
         return self._unreachable
 
-    def surely(self, service: str) -> int:
+    def recent_minimum(self, service: str) -> int:
         """Return the lesser of the last two things heard of a service."""
         return min(
             self._by_service.get(service, 0),
@@ -65,7 +65,7 @@
         self._by_service_before = self._by_service
         self._take_off_own()
 
-    def take_own(self, report: pb.Report) -> None:
+    def apply_own_report(self, report: pb.Report) -> None:
         """Take the report of ours that the loads of all contain."""
         self._own_totals = {
             load.service: load.running + load.waiting for load in report.loads
--- a/src/honeyport/router/prefix_transfer.py
+++ b/src/honeyport/router/prefix_transfer.py
@@ -20,7 +20,7 @@
 from honeyport.telemetry import metrics
 
 
-class HotChats:
+class RecentChats:
     """The chats that an engine served last, the latest at the end.
 
     :param most: how many are remembered
@@ -41,27 +41,27 @@
     def __len__(self) -> int:
         return len(self._chats)
 
-    def note(self, chat: str) -> None:
+    def add(self, chat: str) -> None:
         """Remember that a chat was served."""
         self._chats[chat] = None
         self._chats.move_to_end(chat)
         while len(self._chats) > self._most:
             self._chats.popitem(last=False)
 
-    def correct(self, found: engine.CacheEvents) -> None:
+    def remove_evicted(self, found: engine.CacheEvents) -> None:
         """Forget what the engine has dropped."""
         self._last_event = max(self._last_event, found.last)
         for chat in found.evicted:
             self._chats.pop(chat, None)
 
-    def take(self) -> list[str]:
+    def pop_all(self) -> list[str]:
         """Return all, the latest first, and forget them."""
         chats = list(reversed(self._chats))
         self._chats.clear()
         return chats
 
 
-class Transfers:
+class PrefixTransfers:
     """Moves prefixes, a few at a time."""
 
     def __init__(
@@ -71,9 +71,11 @@
         self._metrics = counters
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, name: str, backend: model.Backend, hot: HotChats) -> None:
+    def start(
+        self, name: str, backend: model.Backend, hot: RecentChats
+    ) -> None:
         """Begin to move the prefixes of an engine that leaves."""
-        chats = hot.take()
+        chats = hot.pop_all()
         if not chats:
             return
         task = asyncio.create_task(self._move_all(name, backend, chats))
--- a/src/honeyport/router/redirector.py
+++ b/src/honeyport/router/redirector.py
@@ -22,7 +22,7 @@
     async def Introduce(
         self, request: pb.Redirect, context: grpc.aio.ServicerContext
     ) -> pb.Empty:
-        self._session.meet(request)
+        self._session.handle_introduction(request)
         return pb.Empty()
 
 
@@ -37,7 +37,7 @@
         request_iterator: collections.abc.AsyncIterator[pb.RouterBatch],
         context: grpc.aio.ServicerContext,
     ) -> collections.abc.AsyncIterator[pb.ControlBatch]:
-        redirect = pb.ControlItem(redirect=self._session.whereabouts())
+        redirect = pb.ControlItem(redirect=self._session.control_location())
         yield pb.ControlBatch(items=[redirect])
 
 
--- a/src/honeyport/router/relay.py
+++ b/src/honeyport/router/relay.py
@@ -45,7 +45,7 @@
     credited: int = 0
 
 
-class Link:
+class PeerLink:
     """The stream to one peer, opened when it is first used."""
 
     def __init__(self, address: str) -> None:
@@ -153,20 +153,20 @@
             self._streams.clear()
 
 
-class Links:
+class PeerLinks:
     """The links of this router, by peer address."""
 
     def __init__(self) -> None:
-        self._links: dict[str, Link] = {}
+        self._links: dict[str, PeerLink] = {}
 
-    def get(self, address: str) -> Link:
+    def get(self, address: str) -> PeerLink:
         """Return the link to a peer."""
         link = self._links.get(address)
         if link is None:
-            link = self._links[address] = Link(address)
+            link = self._links[address] = PeerLink(address)
         return link
 
-    async def keep(self, addresses: set[str]) -> None:
+    async def retain(self, addresses: set[str]) -> None:
         """Close the links to all other peers: their leases have lapsed.
 
         What was under way there is resumed at the next steward, without
@@ -177,7 +177,7 @@
 
     async def close(self) -> None:
         """Close all links."""
-        await self.keep(set())
+        await self.retain(set())
 
 
 @attrs.define
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -74,7 +74,7 @@
         self._on_view = on_view
         self._on_news = on_news
         self._suspects = held
-        self._suspects.connect(self._put)
+        self._suspects.set_sender(self._put)
         self._metrics = counters
         self._incarnation = uuid.uuid4().hex[:12]
         self._outbox: outbox.Outbox[pb.RouterItem] | None = None
@@ -89,7 +89,7 @@
         self._pending: dict[int, _Pending] = {}
         self._gap = True
         self._attached_to = ''
-        self._search = leader_search.Search(counters)
+        self._search = leader_search.LeaderSearch(counters)
         self._start_over = False  # our configuration led nowhere
 
     @property
@@ -111,13 +111,13 @@
         """Look for the leader at other addresses, too; the stream stays."""
         self._contacts.set_configured(control)
 
-    def meet(self, introduction: pb.Redirect) -> None:
+    def handle_introduction(self, introduction: pb.Redirect) -> None:
         """Take it that a leader called; it is asked next, if we have none."""
         logs.emit(events.INTRODUCED, leader=introduction.leader)
         if not self.attached:
             self._contacts.add_hint(introduction.leader, introduction.replicas)
 
-    def whereabouts(self) -> pb.Redirect:
+    def control_location(self) -> pb.Redirect:
         """Return where control is, for an instance that asks us.
 
         A leader that has fallen silent is not named: whoever asks would lose
@@ -129,14 +129,14 @@
             replicas=self._contacts.replicas,
         )
 
-    def hurry(self) -> None:
+    def report_soon(self) -> None:
         """Send the next report at once."""
         self._news.set()
 
     def announce_leaving(self) -> None:
         """Say in all further reports that this router is leaving."""
         self._leaving = True
-        self.hurry()
+        self.report_soon()
 
     async def claim(self, request: pb.ClaimRequest) -> pb.ClaimAnswer:
         """Have a claim request committed; sent again on a new stream."""
@@ -166,7 +166,7 @@
                 )
                 self._start_over = True
                 reason = error.code
-            self._search.end(address, reason)
+            self._search.record_ended(address, reason)
             if not self._contacts.has_leader_hint:
                 await asyncio.sleep(_PAUSE_S)
 
@@ -187,7 +187,7 @@
                 return leader_search.NO_LEADER
             self._begin(box)
             self._attached_to = address
-            self._search.open(address)
+            self._search.record_opened(address)
             reporter = asyncio.create_task(self._report(box))
             self._take(first)
             while (batch := await self._next(call)) is not grpc.aio.EOF:
@@ -223,7 +223,7 @@
         self._state.apply_own_report(pb.Report())
         self._stamp = 0
         self._gap = True
-        for item in self._suspects.greeting():
+        for item in self._suspects.initial_items():
             box.put(item)
         for pending in list(self._pending.values()):
             box.put(pb.RouterItem(claim=pending.request))
@@ -253,7 +253,7 @@
                 self._take_answer(item.answer)
             elif kind == 'config':
                 if self._state.apply_config(item.config):
-                    self.hurry()
+                    self.report_soon()
             elif kind == 'view':
                 self._take_view(item.view)
             elif kind == 'loads':
@@ -272,7 +272,7 @@
             elif kind == 'suspects':
                 self._suspects.apply(item.suspects)
             elif kind == 'permit':
-                self._suspects.take_answer(item.permit)
+                self._suspects.resolve_permit(item.permit)
         self._on_news()
 
     def _take_answer(self, answer: pb.ReportAnswer) -> None:
@@ -296,7 +296,7 @@
         is_new = self._state.apply_view(view) or not followed
         if is_new and self._on_view is not None:
             self._on_view(followed)
-        self.hurry()
+        self.report_soon()
 
     def _take_claim(self, answer: pb.ClaimAnswer) -> None:
         pending = self._pending.get(answer.id)
--- a/src/honeyport/router/slots.py
+++ b/src/honeyport/router/slots.py
@@ -1,4 +1,4 @@
-"""What a steward keeps for one backend server."""
+"""The admission state of one backend server."""
 
 import attrs
 
@@ -7,51 +7,60 @@
 from honeyport.router import fair_queue
 from honeyport.router import prefix_transfer
 
-DOWN_AFTER = 2  # failed connections in a row
-_FIRST_SERVICE_S = 0.5  # guess of a request's time before one was seen
+DOWN_AFTER_FAILURES = 2  # consecutive failed connections
+_INITIAL_MEAN_DURATION_S = 0.5  # until the first request has ended
 
 
 @attrs.define
-class Slot:
-    """One backend server under this router's care.
+class BackendState:
+    """One backend server, its queue and its load as known here.
 
-    :param ready: whether no other router can still be sending to it
-    :param foreign: requests of a former steward that it may still run
+    :ivar config: its entry in the bundle
+    :ivar recent_chats: the chats whose prefixes it may have cached
+    :ivar running: the requests that this router runs there
+    :ivar ready: whether no other router can still be sending to it
+    :ivar owned: whether this router is its owner
+    :ivar untracked_running: requests of previous owners that it may still run
+    :ivar probed: whether it was probed since this router became its owner
+    :ivar failures: consecutive failed connections
+    :ivar limit: adaptive concurrency limit (additive increase, multiplicative
+        decrease)
+    :ivar mean_duration_s: moving average of the requests' durations
     """
 
     name: str
     kind: str
-    backend: model.Backend
+    config: model.Backend
     client: registry.Client
-    hot: prefix_transfer.HotChats
+    recent_chats: prefix_transfer.RecentChats
     queue: fair_queue.FairQueue = attrs.field(init=False)
     running: int = 0
     ready: bool = False
     owned: bool = False
-    foreign: int = 0
+    untracked_running: int = 0
     probed: bool = False
     failures: int = 0
     limit: float = 0.0
-    service_s: float = _FIRST_SERVICE_S
+    mean_duration_s: float = _INITIAL_MEAN_DURATION_S
 
     def __attrs_post_init__(self) -> None:
-        self.queue = fair_queue.FairQueue(self.give_back)
+        self.queue = fair_queue.FairQueue(self.release)
 
-    def give_back(self) -> None:
-        """Count one request less."""
+    def release(self) -> None:
+        """Free the slot of a request that was granted one but not sent."""
         self.running -= 1
 
     @property
     def id(self) -> str:
-        """Its name, as the witness of ends asks for it."""
+        """The name, under which the end detector tracks the server."""
         return self.name
 
     @property
     def address(self) -> str:
-        """Where it listens."""
-        return self.backend.address
+        """The address that it listens on."""
+        return self.config.address
 
     @property
     def down(self) -> bool:
-        """Whether it does not answer."""
-        return self.failures >= DOWN_AFTER
+        """Whether its last connections failed."""
+        return self.failures >= DOWN_AFTER_FAILURES
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -1,7 +1,8 @@
-"""Admission to the backend servers that this router stewards.
+"""Admission control for the backend servers that this router owns.
 
-All work for a backend server passes its steward, so the count of what
-runs there is exact and its queue is the one place for fair shares.
+Each backend server has one owning router. All its requests pass through the
+owner, which therefore has the exact count of running requests and the only
+queue.
 """
 
 import asyncio
@@ -28,19 +29,20 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-_BACKOFF = 0.7  # of the limit, when the backend server says it is busy
-_SMOOTHING = 0.1
-_REMEMBERED = 2  # reports of ours that the others' loads may be as old as
+_LIMIT_DECREASE_FACTOR = 0.7  # on each answer that reports overload
+_DURATION_EWMA_WEIGHT = 0.1
+_RECENT_REPORTS = 2  # the other routers' loads may be as old as these
 
 
-Wake = collections.abc.Callable[[], None]
+Callback = collections.abc.Callable[[], None]
 
 
-class Steward:
-    """The slots of this router.
+class AdmissionController:
+    """Admits requests to the backend servers that this router owns.
 
-    :param hurry: called when the fleet should hear of our load soon
-    :param held: the calls that are held back
+    :param report_soon: called when the next load report should not wait for
+        its period
+    :param suspect_tracker: holds back requests that may crash their server
     """
 
     def __init__(
@@ -48,85 +50,95 @@
         name: str,
         state: fleetstate.FleetState,
         counters: metrics.Metrics,
-        hurry: Wake,
-        held: suspects.SuspectTracker,
+        report_soon: Callback,
+        suspect_tracker: suspects.SuspectTracker,
     ) -> None:
         self._name = name
         self._state = state
         self._metrics = counters
-        self._hurry = hurry
-        self._suspects = held
-        self._witness = end_detector.EndDetector(self._knock, held.record_end)
-        self._slots: dict[str, slots.Slot] = {}
-        self._reported: collections.deque[dict[str, int]] = collections.deque(
-            maxlen=_REMEMBERED
+        self._report_soon = report_soon
+        self._suspects = suspect_tracker
+        self._end_detector = end_detector.EndDetector(
+            self._check_connection, suspect_tracker.record_end
         )
-        self._news = asyncio.Event()
-        self._lapsed = False
-        self._rests = backoffs.Backoffs()
-        self._transfers = prefix_transfer.Transfers(state, counters)
-        self._parting: set[asyncio.Task[None]] = set()
-        counters.gauge('steward_slots', lambda: len(self._owned()))
+        self._servers: dict[str, slots.BackendState] = {}
+        self._recent_loads: collections.deque[dict[str, int]] = (
+            collections.deque(maxlen=_RECENT_REPORTS)
+        )
+        self._state_changed = asyncio.Event()
+        self._lease_lapsed = False
+        self._backoffs = backoffs.Backoffs()
+        self._transfers = prefix_transfer.PrefixTransfers(state, counters)
+        self._cancel_tasks: set[asyncio.Task[None]] = set()
+        counters.gauge('steward_slots', lambda: len(self._owned_servers()))
         counters.gauge('steward_running', lambda: self.running)
 
     @property
     def running(self) -> int:
-        """Requests that run on backend servers through us."""
-        return sum(slot.running for slot in self._slots.values())
+        """The number of requests that this router runs on backend servers."""
+        return sum(server.running for server in self._servers.values())
 
-    def regard_view(self, followed: bool) -> None:
-        """Take and leave backend servers as the view says.
+    def on_view_applied(self, is_consecutive: bool) -> None:
+        """Acquire and release backend servers after a change of view.
 
-        What we had in the view just before, and have still, we keep; all
-        else has to wait until the view is settled.
+        :param is_consecutive: whether the view directly follows the last one
+            applied here. If not, the backend servers that are still owned
+            admit nothing either until the view has converged.
         """
-        for slot in self._slots.values():
-            if not followed:
-                slot.ready = False
-        self.regard_bundle()
+        for server in self._servers.values():
+            if not is_consecutive:
+                server.ready = False
+        self.sync_servers()
 
-    def regard_bundle(self) -> None:
-        """Bring the slots in line with view and bundle."""
+    def sync_servers(self) -> None:
+        """Update the set of backend servers from the view and the bundle."""
         try:
             backends = self._state.bundle.backends
         except errors.NotReady:
             return
         for name, backend in backends.items():
-            mine = self._state.is_steward(self._name, name)
-            slot = self._slots.get(name)
-            if slot is not None and slot.backend.address != backend.address:
-                self._leave(slot)
-                self._drop(slot)
-                slot = None
-            if slot is not None:
-                slot.backend = backend
-            if mine and (slot is None or not slot.owned):
-                self._take(name, backend)
-            elif not mine and slot is not None and slot.owned:
-                self._leave(slot)
-        for name in [n for n in self._slots if n not in backends]:
-            self._move_prefixes(self._slots[name])
-            self._leave(self._slots[name])
-            self._drop(self._slots[name])
-
-    def fill(self, report: pb.Report) -> None:
-        """Add our loads to a report."""
+            is_owner = self._state.is_owner(self._name, name)
+            server = self._servers.get(name)
+            if server is not None and server.config.address != backend.address:
+                self._release_ownership(server)
+                self._remove_server(server)
+                server = None
+            if server is not None:
+                server.config = backend
+            if is_owner and (server is None or not server.owned):
+                self._acquire_ownership(name, backend)
+            elif not is_owner and server is not None and server.owned:
+                self._release_ownership(server)
+        for name in [
+            removed for removed in self._servers if removed not in backends
+        ]:
+            self._move_prefixes(self._servers[name])
+            self._release_ownership(self._servers[name])
+            self._remove_server(self._servers[name])
+
+    def add_loads(self, report: pb.Report) -> None:
+        """Add the loads of this router to a report."""
         running: dict[str, int] = {}
         waiting: dict[str, int] = {}
-        for slot in self._slots.values():
-            service = slot.backend.service
-            running[service] = running.get(service, 0) + slot.running
-            waiting[service] = waiting.get(service, 0) + len(slot.queue)
-            if slot.running and not slot.owned:
-                report.residuals.add(backend=slot.name, running=slot.running)
-            if slot.owned and slot.down:
-                report.down.append(slot.name)
+        for server in self._servers.values():
+            service = server.config.service
+            running[service] = running.get(service, 0) + server.running
+            waiting[service] = waiting.get(service, 0) + len(server.queue)
+            if server.running and not server.owned:
+                report.residuals.add(
+                    backend=server.name, running=server.running
+                )
+            if server.owned and server.down:
+                report.down.append(server.name)
         for service, count in running.items():
             report.loads.add(
                 service=service, running=count, waiting=waiting[service]
             )
-        self._reported.append(
-            {name: count + waiting[name] for name, count in running.items()}
+        self._recent_loads.append(
+            {
+                loaded: count + waiting[loaded]
+                for loaded, count in running.items()
+            }
         )
 
     async def answer(
@@ -134,40 +146,44 @@
     ) -> exchange.Answer:
         """Admit a call, send it, and yield its answer's frames.
 
-        :raises errors.HoneyportError: see ``ran`` of the error
+        :raises errors.HoneyportError: if the call was refused or failed; its
+            ``ran`` attribute says whether the call may have run
         """
         request = fingerprints.compute(
             call.account, call.service, call.path, call.body
         )
-        # A call that ends its backend server would end one server after
-        # another, also where each copy comes under another id.
+        # A call that crashes its backend server would crash the next one on
+        # each retry. The fingerprint is the same under every request id.
         async with self._suspects.admit(
-            request, lambda call: self._witness.call_when_probed(backend, call)
+            request,
+            lambda callback: self._end_detector.call_when_probed(
+                backend, callback
+            ),
         ):
-            frames = self._run(call, backend, request)
+            frames = self._answer_admitted(call, backend, request)
             async with contextlib.aclosing(frames):
                 async for frame in frames:
                     yield frame
 
-    async def _run(
+    async def _answer_admitted(
         self, call: exchange.Call, backend: str, request: str
     ) -> exchange.Answer:
-        """Yield the frames of a call's answer.
+        """Wait for a slot, send the call and yield its answer's frames.
 
-        :param request: its fingerprint
+        :param request: the call's fingerprint
         """
-        slot = await self._admit(call, backend)
+        server = await self._admit(call, backend)
         succeeded = False
         loop = asyncio.get_running_loop()
-        started = loop.time()
+        started_at = loop.time()
         abandoned = True
-        answer = slot.client.answer(call)
+        answer = server.client.answer(call)
         try:
             async with contextlib.aclosing(answer):
                 async for frame in answer:
                     if isinstance(frame, exchange.Head):
-                        self._heed(slot, frame)
-                        slot.hot.note(call.chat)
+                        self._process_head(server, frame)
+                        server.recent_chats.add(call.chat)
                         succeeded = frame.is_success
                     elif isinstance(frame, exchange.End):
                         abandoned = False
@@ -176,313 +192,369 @@
                     yield frame
         except errors.HoneyportError as error:
             abandoned = False
-            self._failed(slot, error, request)
+            self._handle_error(server, error, request)
             raise
         finally:
             if abandoned and call.repeatable:
-                self._part(slot, call, started)
+                self._cancel_in_background(server, call, started_at)
             else:
-                self._release(slot, loop.time() - started)
+                self._finish_request(server, loop.time() - started_at)
 
-    async def watch(self) -> None:
-        """Probe the owned backend servers, spread over the period."""
+    async def run_probes(self) -> None:
+        """Probe each owned backend server once a period, evenly spaced."""
         while True:
             period_s = self._state.timing.probe_ms / 1000
             self._check_lease()
-            owned = self._owned()
+            owned = self._owned_servers()
             if not owned:
                 await asyncio.sleep(period_s)
                 continue
             async with asyncio.TaskGroup() as group:
-                for slot in owned:
-                    group.create_task(self._probe(slot))
+                for server in owned:
+                    group.create_task(self._probe(server))
                     await asyncio.sleep(period_s / len(owned))
 
     def _check_lease(self) -> None:
-        """Without a lease, what waits gets its final answer now."""
+        """End the wait of all queued requests if the lease has lapsed."""
         lapsed = self._state.lease_left <= 0
-        if lapsed and not self._lapsed and self._slots:
+        if lapsed and not self._lease_lapsed and self._servers:
             logs.emit(events.LEASE_LAPSED)
-        self._lapsed = lapsed
+        self._lease_lapsed = lapsed
         if lapsed:
-            for slot in self._slots.values():
-                while slot.queue.grant_next(granted=False):
+            for server in self._servers.values():
+                while server.queue.grant_next(granted=False):
                     pass
 
-    def notice(self) -> None:
-        """Look again at what may be admitted: something changed."""
-        # A bundle names its servers until an operator removes them, so none
-        # ends by leaving it.
-        leaving = filter(self._state.is_leaving, self._slots)
-        self._witness.apply_listing(set(), set(leaving))
-        self._news.set()
+    def on_state_changed(self) -> None:
+        """Schedule a new pass over the queues after a change of state."""
+        # Backend servers of a bundle are removed by operators only, so a
+        # missing entry is no sign of a crash: the listing is always empty.
+        leaving = filter(self._state.is_leaving, self._servers)
+        self._end_detector.apply_listing(set(), set(leaving))
+        self._state_changed.set()
 
     def close(self) -> None:
-        """End the tasks that watch backend servers."""
-        self._witness.close()
+        """Cancel the probes for crashed backend servers."""
+        self._end_detector.close()
 
-    async def settle(self) -> None:
-        """Make slots ready once the view they came with is settled."""
+    async def run_admission(self) -> None:
+        """Update all backend servers after each change of state."""
         while True:
-            await self._news.wait()
-            self._news.clear()
+            await self._state_changed.wait()
+            self._state_changed.clear()
             await asyncio.gather(
-                *(self._regard(slot) for slot in list(self._slots.values()))
+                *(
+                    self._update_server(server)
+                    for server in list(self._servers.values())
+                )
+            )
+
+    async def _update_server(self, server: slots.BackendState) -> None:
+        """Make a server ready once its view converged; admit its queue."""
+        if server.owned and self._state.is_leaving(server.name):
+            self._move_prefixes(server)
+        if server.owned and not server.ready and self._is_view_converged():
+            await self._probe(server)
+            server.ready = server.owned and self._is_view_converged()
+        self._admit_waiting(server)
+
+    def _move_prefixes(self, server: slots.BackendState) -> None:
+        """Start the transfer of cached prefixes from a leaving engine."""
+        if server.kind == model.ENGINE and len(server.recent_chats):
+            self._transfers.start(
+                server.name, server.config, server.recent_chats
             )
 
-    async def _regard(self, slot: slots.Slot) -> None:
-        """Make one slot ready if it may be, and admit what waits."""
-        if slot.owned and self._state.is_leaving(slot.name):
-            self._move_prefixes(slot)
-        if slot.owned and not slot.ready and self._settled():
-            await self._probe(slot)
-            slot.ready = slot.owned and self._settled()
-        self._admit_waiting(slot)
-
-    def _move_prefixes(self, slot: slots.Slot) -> None:
-        """Move what is warm, once, when an engine leaves as planned."""
-        if slot.kind == model.ENGINE and len(slot.hot):
-            self._transfers.start(slot.name, slot.backend, slot.hot)
-
-    def _settled(self) -> bool:
-        return self._state.is_settled and self._state.lease_left > 0
-
-    def _owned(self) -> list[slots.Slot]:
-        return [slot for slot in self._slots.values() if slot.owned]
-
-    def _take(self, name: str, backend: model.Backend) -> None:
-        slot = self._slots.get(name)
-        if slot is None:
+    def _is_view_converged(self) -> bool:
+        return self._state.is_converged and self._state.lease_left > 0
+
+    def _owned_servers(self) -> list[slots.BackendState]:
+        return [server for server in self._servers.values() if server.owned]
+
+    def _acquire_ownership(self, name: str, backend: model.Backend) -> None:
+        server = self._servers.get(name)
+        if server is None:
             kind = self._state.bundle.services[backend.service].kind
             client = registry.create(kind, name, backend.address)
-            hot = prefix_transfer.HotChats(self._state.bundle.limits.hot_chats)
-            slot = slots.Slot(
-                name, kind, backend, client, hot, limit=backend.slots
+            recent_chats = prefix_transfer.RecentChats(
+                self._state.bundle.limits.hot_chats
+            )
+            server = slots.BackendState(
+                name, kind, backend, client, recent_chats, limit=backend.slots
             )
-            self._slots[name] = slot
-        slot.owned = True
-        slot.ready = False
-        slot.probed = False
+            self._servers[name] = server
+        server.owned = True
+        server.ready = False
+        server.probed = False
         logs.emit(events.ENGINE_TAKEN, backend=name)
 
-    def _leave(self, slot: slots.Slot) -> None:
-        if slot.owned:
-            slot.owned = False
-            slot.ready = False
-            logs.emit(events.ENGINE_LEFT, backend=slot.name)
-        while slot.queue.grant_next(granted=False):
+    def _release_ownership(self, server: slots.BackendState) -> None:
+        if server.owned:
+            server.owned = False
+            server.ready = False
+            logs.emit(events.ENGINE_LEFT, backend=server.name)
+        while server.queue.grant_next(granted=False):
             pass
 
-    def _drop(self, slot: slots.Slot) -> None:
-        if self._slots.get(slot.name) is slot:
-            del self._slots[slot.name]
-            self._rests.retain(set(self._slots))
-        if not slot.running:
-            slot.client.close()
+    def _remove_server(self, server: slots.BackendState) -> None:
+        if self._servers.get(server.name) is server:
+            del self._servers[server.name]
+            self._backoffs.retain(set(self._servers))
+        if not server.running:
+            server.client.close()
 
-    async def _admit(self, call: exchange.Call, backend: str) -> slots.Slot:
-        """Return the slot once the call may run there, counted in."""
+    async def _admit(
+        self, call: exchange.Call, backend: str
+    ) -> slots.BackendState:
+        """Wait for a slot; return the server with the call counted in.
+
+        :raises errors.NotReady: if this router may not admit calls, or does
+            not own the backend server
+        :raises errors.NotSent: if the backend server is down or leaving
+        :raises errors.BackendFull: if the call's patience ended first
+        :raises errors.Overloaded: if the call's deadline would pass first
+        """
         while True:
             self._state.check_lease()
-            slot = self._slots.get(backend)
-            if slot is None or not slot.owned:
+            server = self._servers.get(backend)
+            if server is None or not server.owned:
                 raise errors.NotReady(
-                    f'{self._name} does not steward {backend}',
+                    f'{self._name} does not own {backend}',
                     retry_after=0.1,
                 )
-            if slot.down or self._state.is_leaving(backend):
-                raise errors.NotSent(f'{backend} takes no new work')
-            if not len(slot.queue) and self._has_room(slot):
-                slot.running += 1
-                return slot
+            if server.down or self._state.is_leaving(backend):
+                raise errors.NotSent(f'{backend} accepts no new requests')
+            if not len(server.queue) and self._has_free_slot(server):
+                server.running += 1
+                return server
             if call.patience_s <= 0:
-                raise errors.BackendFull(f'{backend} is at its bound')
-            if await self._queue(slot, call):
-                return slot
-
-    async def _queue(self, slot: slots.Slot, call: exchange.Call) -> bool:
-        """Wait for a turn, or refuse at once if none can come in time."""
-        share = self._share(call.account)
-        ahead = slot.queue.ahead(call.account)
-        wait_s = (ahead + 1) * slot.service_s / max(1, self._limit(slot))
+                raise errors.BackendFull(f'{backend} is at its limit')
+            if await self._wait_for_slot(server, call):
+                return server
+
+    async def _wait_for_slot(
+        self, server: slots.BackendState, call: exchange.Call
+    ) -> bool:
+        """Queue a call, or refuse it if its expected wait is too long.
+
+        :returns: whether a slot was granted; if not, the caller has to check
+            the owner again
+        """
+        share = self._account_share(call.account)
+        ahead_count = server.queue.count_ahead(call.account)
+        wait_s = (
+            (ahead_count + 1)
+            * server.mean_duration_s
+            / max(1, self._concurrency_limit(server))
+        )
         now = asyncio.get_running_loop().time()
-        wait_s += self._rests.remaining_s(slot.name, now)
-        full = len(slot.queue) >= self._state.bundle.limits.queue
-        most_s = min(call.left(), call.patience_s)
-        if call.patience_s < call.left() and (full or wait_s > most_s):
-            raise errors.BackendFull(f'{slot.name} is at its bound')
-        if full or wait_s > most_s:
+        wait_s += self._backoffs.remaining_s(server.name, now)
+        is_queue_full = len(server.queue) >= self._state.bundle.limits.queue
+        timeout_s = min(call.left(), call.patience_s)
+        if call.patience_s < call.left() and (
+            is_queue_full or wait_s > timeout_s
+        ):
+            raise errors.BackendFull(f'{server.name} is at its limit')
+        if is_queue_full or wait_s > timeout_s:
             self._metrics.count('refused', service=call.service)
             raise errors.Overloaded(retry_after=max(wait_s, 0.1))
-        self._hurry()
+        self._report_soon()
         try:
-            return await slot.queue.wait(call.account, share, most_s)
+            return await server.queue.wait(call.account, share, timeout_s)
         except errors.Overloaded:
-            if most_s < call.left():
+            if timeout_s < call.left():
                 raise errors.BackendFull(
-                    f'{slot.name} is at its bound'
+                    f'{server.name} is at its limit'
                 ) from None
             raise
 
-    def _share(self, account: str) -> float:
-        found = self._state.bundle.accounts.get(account)
-        return found.share if found else 1.0
+    def _account_share(self, account: str) -> float:
+        settings = self._state.bundle.accounts.get(account)
+        return settings.share if settings else 1.0
 
-    def _has_room(self, slot: slots.Slot) -> bool:
-        if not slot.ready or self._state.lease_left <= 0:
+    def _has_free_slot(self, server: slots.BackendState) -> bool:
+        if not server.ready or self._state.lease_left <= 0:
             return False
         now = asyncio.get_running_loop().time()
-        if not self._rests.may_send(slot.name, slot.running, now):
+        if not self._backoffs.may_send(server.name, server.running, now):
             return False
-        foreign = max(slot.foreign, self._state.residual(slot.name))
-        return slot.running + foreign < self._limit(slot)
+        external_running = max(
+            server.untracked_running,
+            self._state.running_elsewhere_on(server.name),
+        )
+        return server.running + external_running < self._concurrency_limit(
+            server
+        )
 
-    def _limit(self, slot: slots.Slot) -> int:
-        """The most requests that may run on a backend server now."""
-        service = slot.backend.service
-        most = max(1, int(min(slot.limit, slot.backend.slots)))
+    def _concurrency_limit(self, server: slots.BackendState) -> int:
+        """Return how many requests may run on a backend server now."""
+        service = server.config.service
+        backend_limit = max(1, int(min(server.limit, server.config.slots)))
         pool = self._state.pool(service)
         if pool.service.kind != model.ENGINE:
-            return most
+            return backend_limit
         count = len(self._state.usable(pool))
-        bounded = hashing.max_load(
-            self._state.bundle.limits.bound, self._total(service), count
+        fair_limit = hashing.max_load(
+            self._state.bundle.limits.bound,
+            self._min_service_load(service),
+            count,
         )
-        return min(most, bounded)
+        return min(backend_limit, fair_limit)
 
-    def _total(self, service: str) -> int:
-        """What surely runs on all engines, or waits for room there.
+    def _min_service_load(self, service: str) -> int:
+        """Return a lower bound of a service's running and queued requests.
 
-        What others report is a little old, and may have moved to us since;
-        so of ours, too, only what was there then counts: the least of now
-        and our last reports. The sum errs on the low side, and the bound
-        with it. What waits counts: otherwise a bound that is too low would
-        keep the total low, and itself.
+        Reports of other routers are delayed, and a request may have moved
+        here since. The own part is therefore the minimum of the current load
+        and the last reports. Queued requests count as well: otherwise a limit
+        that is too low would keep the total low, and thereby itself.
         """
-        ours = sum(
-            slot.running + len(slot.queue)
-            for slot in self._slots.values()
-            if slot.backend.service == service
+        own_load = sum(
+            server.running + len(server.queue)
+            for server in self._servers.values()
+            if server.config.service == service
         )
-        for reported in self._reported:
-            ours = min(ours, reported.get(service, 0))
-        return self._state.others(service) + ours
-
-    def _release(self, slot: slots.Slot, seconds: float) -> None:
-        slot.running -= 1
-        slot.service_s += _SMOOTHING * (seconds - slot.service_s)
-        self._admit_waiting(slot)
-
-    def _admit_waiting(self, slot: slots.Slot) -> None:
-        while len(slot.queue) and self._has_room(slot):
-            slot.running += 1
-            if not slot.queue.grant_next(granted=True):
-                slot.running -= 1
+        for loads in self._recent_loads:
+            own_load = min(own_load, loads.get(service, 0))
+        return self._state.load_elsewhere(service) + own_load
+
+    def _finish_request(
+        self, server: slots.BackendState, duration_s: float
+    ) -> None:
+        server.running -= 1
+        server.mean_duration_s += _DURATION_EWMA_WEIGHT * (
+            duration_s - server.mean_duration_s
+        )
+        self._admit_waiting(server)
+
+    def _admit_waiting(self, server: slots.BackendState) -> None:
+        while len(server.queue) and self._has_free_slot(server):
+            server.running += 1
+            if not server.queue.grant_next(granted=True):
+                server.running -= 1
                 return
 
-    def _answered(self, slot: slots.Slot) -> None:
-        if slot.down:
-            logs.emit(events.BACKEND_UP, backend=slot.name)
-        slot.failures = 0
-        self._rests.record_answer(slot.name, asyncio.get_running_loop().time())
-        slot.limit = min(slot.backend.slots, slot.limit + 1 / slot.limit)
+    def _record_success(self, server: slots.BackendState) -> None:
+        if server.down:
+            logs.emit(events.BACKEND_UP, backend=server.name)
+        server.failures = 0
+        self._backoffs.record_answer(
+            server.name, asyncio.get_running_loop().time()
+        )
+        server.limit = min(
+            server.config.slots, server.limit + 1 / server.limit
+        )
 
-    def _failed(
+    def _handle_error(
         self,
-        slot: slots.Slot,
+        server: slots.BackendState,
         error: errors.HoneyportError,
         request: str,
     ) -> None:
         if isinstance(error, errors.BackendLost | errors.AnswerCut):
-            self._witness.record_broken(slot, request)
+            self._end_detector.record_broken(server, request)
         elif isinstance(error, errors.ConnectionRefused):
-            self._witness.record_gone(
-                slot.name, end_detector.CONNECTION_REFUSED
+            self._end_detector.record_gone(
+                server.name, end_detector.CONNECTION_REFUSED
             )
         if isinstance(error, errors.BackendFull):
-            slot.limit = max(1.0, slot.limit * _BACKOFF)
+            server.limit = max(1.0, server.limit * _LIMIT_DECREASE_FACTOR)
             if error.retry_after is not None:
-                self._rest(slot, error.retry_after)
+                self._back_off(server, error.retry_after)
         elif isinstance(error, errors.NotSent | errors.BackendLost):
-            self._unreachable(slot)
+            self._record_failure(server)
 
-    def _heed(self, slot: slots.Slot, head: exchange.Head) -> None:
-        """Take what the head of an answer says of its backend server."""
+    def _process_head(
+        self, server: slots.BackendState, head: exchange.Head
+    ) -> None:
+        """Update the backend server's state from an answer's head."""
         if head.retry_after_s is not None:
-            self._rest(slot, head.retry_after_s)
+            self._back_off(server, head.retry_after_s)
         else:
-            self._answered(slot)
+            self._record_success(server)
 
-    def _rest(self, slot: slots.Slot, asked_s: float) -> None:
-        """Send a backend server nothing for as long as it asks."""
+    def _back_off(
+        self, server: slots.BackendState, requested_s: float
+    ) -> None:
+        """Send nothing to a backend server for its ``Retry-After`` time."""
         loop = asyncio.get_running_loop()
-        rest = self._rests.request(slot.name, asked_s, loop.time())
-        if rest.is_new:
+        backoff = self._backoffs.request(server.name, requested_s, loop.time())
+        if backoff.is_new:
             logs.emit(
                 events.REST_ASKED,
-                backend=slot.name,
-                address=slot.address,
-                asked_s=rest.requested_s,
-                rest_s=rest.granted_s,
+                backend=server.name,
+                address=server.address,
+                asked_s=backoff.requested_s,
+                rest_s=backoff.granted_s,
             )
-        left_s = self._rests.remaining_s(slot.name, loop.time())
-        loop.call_later(left_s, self._admit_waiting, slot)
+        remaining_s = self._backoffs.remaining_s(server.name, loop.time())
+        loop.call_later(remaining_s, self._admit_waiting, server)
 
-    async def _knock(self, slot: slots.Slot) -> None:
-        """Connect to a backend server for the witness.
+    async def _check_connection(self, server: slots.BackendState) -> None:
+        """Connect to a backend server for the end detector.
 
         :raises errors.NotSent: if it does not answer
         """
         try:
-            await slot.client.probe()
+            await server.client.probe()
         except errors.BackendLost as error:
             raise errors.NotSent(error.detail) from None
         except (ValueError, KeyError):
-            return  # it answers, if not well
+            return  # an invalid answer still shows that it runs
 
-    def _unreachable(self, slot: slots.Slot) -> None:
-        slot.failures += 1
-        if slot.failures == slots.DOWN_AFTER:
-            logs.emit(events.BACKEND_DOWN, backend=slot.name)
-            self._hurry()
+    def _record_failure(self, server: slots.BackendState) -> None:
+        server.failures += 1
+        if server.failures == slots.DOWN_AFTER_FAILURES:
+            logs.emit(events.BACKEND_DOWN, backend=server.name)
+            self._report_soon()
 
-    def _part(
-        self, slot: slots.Slot, call: exchange.Call, started: float
+    def _cancel_in_background(
+        self,
+        server: slots.BackendState,
+        call: exchange.Call,
+        started_at: float,
     ) -> None:
-        """See to an answer whose caller has gone; the slot stays taken."""
-        task = asyncio.create_task(self._abandon(slot, call, started))
-        self._parting.add(task)
-        task.add_done_callback(self._parting.discard)
+        """Cancel a call whose caller has gone; its slot is freed after."""
+        task = asyncio.create_task(self._cancel_call(server, call, started_at))
+        self._cancel_tasks.add(task)
+        task.add_done_callback(self._cancel_tasks.discard)
 
-    async def _abandon(
-        self, slot: slots.Slot, call: exchange.Call, started: float
+    async def _cancel_call(
+        self,
+        server: slots.BackendState,
+        call: exchange.Call,
+        started_at: float,
     ) -> None:
-        """Have the engine stop, at once or after the time to come back."""
+        """Cancel a call, after the reconnect period if it has one."""
         if call.linger:
             await asyncio.sleep(self._state.timing.linger_ms / 1000)
         with contextlib.suppress(errors.HoneyportError):
-            await slot.client.cancel(call.request_id)
+            await server.client.cancel(call.request_id)
         loop = asyncio.get_running_loop()
-        self._release(slot, loop.time() - started)
+        self._finish_request(server, loop.time() - started_at)
 
-    async def _probe(self, slot: slots.Slot) -> None:
-        """Ask for the load; a former steward's requests show in it."""
+    async def _probe(self, server: slots.BackendState) -> None:
+        """Probe a server; its load includes requests of the last owner."""
         try:
-            load = await slot.client.probe()
+            load = await server.client.probe()
         except (errors.HoneyportError, ValueError, KeyError):
-            self._unreachable(slot)
+            self._record_failure(server)
             return
-        self._answered(slot)
-        if slot.kind == model.ENGINE and len(slot.hot):
-            await self._correct(slot)
-        if not slot.probed:
-            slot.probed = True
-            slot.foreign = max(0, load.running - slot.running)
+        self._record_success(server)
+        if server.kind == model.ENGINE and len(server.recent_chats):
+            await self._remove_evicted_chats(server)
+        if not server.probed:
+            server.probed = True
+            server.untracked_running = max(0, load.running - server.running)
         else:
-            slot.foreign = min(slot.foreign, load.running)
+            server.untracked_running = min(
+                server.untracked_running, load.running
+            )
 
-    async def _correct(self, slot: slots.Slot) -> None:
-        """Take in which prefixes the engine has dropped."""
-        client = typing.cast(engine.EngineClient, slot.client)
+    async def _remove_evicted_chats(self, server: slots.BackendState) -> None:
+        """Forget the chats whose prefixes the engine has evicted."""
+        client = typing.cast(engine.EngineClient, server.client)
         with contextlib.suppress(errors.HoneyportError, ValueError, KeyError):
-            slot.hot.correct(await client.cache_events(slot.hot.last_event))
+            server.recent_chats.remove_evicted(
+                await client.cache_events(server.recent_chats.last_event)
+            )
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -77,7 +77,7 @@
         """How many requests are held back in the whole fleet."""
         return len(self._known)
 
-    def connect(self, send: Send) -> None:
+    def set_sender(self, send: Send) -> None:
         """Take what sends an item to the leader, if there is a stream."""
         self._send = send
 
@@ -147,7 +147,7 @@
 
     # -- what the stream to the leader brings ----------------------------
 
-    def greeting(self) -> list[pb.RouterItem]:
+    def initial_items(self) -> list[pb.RouterItem]:
         """Return what each new leader is told first."""
         items = list(self._unsent)
         self._unsent.clear()
@@ -173,7 +173,7 @@
             ]
         )
 
-    def take_answer(self, answer: pb.PermitAnswer) -> None:
+    def resolve_permit(self, answer: pb.PermitAnswer) -> None:
         """Take the leader's word on a request that it was asked about."""
         future = self._asked.get(answer.id)
         if future is not None and not future.done():
