--- a/src/honeyport/control/clearance.py
+++ b/src/honeyport/control/clearance.py
@@ -1,4 +1,4 @@
-"""How operators see which requests are held back, and clear one."""
+"""RPC service with which operators list and clear suspect requests."""
 
 import grpc
 
@@ -12,11 +12,13 @@
 
 
 class SuspicionService(rpc.SuspicionServicer):
-    """Answers operators on every control replica; the leader acts."""
+    """Servicer of every control replica; only the leader lists and clears."""
 
-    def __init__(self, node: replica.Replica, held: suspects.Suspects) -> None:
+    def __init__(
+        self, node: replica.Replica, record: suspects.Suspects
+    ) -> None:
         self._node = node
-        self._suspects = held
+        self._suspects = record
 
     async def List(
         self, request: pb.SuspectsRequest, context: grpc.aio.ServicerContext
--- a/src/honeyport/control/daemon.py
+++ b/src/honeyport/control/daemon.py
@@ -1,4 +1,4 @@
-"""A control replica as a process of its own."""
+"""Process that runs a control replica."""
 
 import pathlib
 
@@ -21,27 +21,31 @@
 ) -> replica.Replica:
     """Start a control replica under a supervisor.
 
-    :raises errors.StorageDamaged: if its data folder cannot be trusted
+    :raises errors.StorageDamaged: if its data folder is corrupt
     """
     counters = metrics.Metrics()
-    parts = group.create(settings, tree, counters)
+    control_group = group.create(settings, tree, counters)
     genesis = model.Signers(
         threshold=settings.threshold, keys=settings.signers
     )
-    desk = operators.OperatorService(parts.node, parts.routers, genesis)
-    rpc.add_OperatorServicer_to_server(desk, parts.server)
-    await group.start(parts, settings, tree)
-    keeper = orders.EngineReconciler(parts.node, parts.routers, counters)
-    tree.task('orders', keeper.run)
+    operator_service = operators.OperatorService(
+        control_group.node, control_group.routers, genesis
+    )
+    rpc.add_OperatorServicer_to_server(operator_service, control_group.server)
+    await group.start(control_group, settings, tree)
+    reconciler = orders.EngineReconciler(
+        control_group.node, control_group.routers, counters
+    )
+    tree.task('orders', reconciler.run)
     if settings.seed:
-        text = pathlib.Path(settings.seed).read_text(encoding='utf-8')
-        signed = signing.from_json(text)
-        tree.task('seed', lambda: desk.seed(signed))
+        seed_text = pathlib.Path(settings.seed).read_text(encoding='utf-8')
+        signed = signing.from_json(seed_text)
+        tree.task('seed', lambda: operator_service.seed(signed))
     if settings.instance_list:
         poller = instances.Poller(
-            settings.instance_list, parts.node, parts.routers
+            settings.instance_list, control_group.node, control_group.routers
         )
         tree.task('instances', poller.run)
-    page = status.serve(settings.http_listen, counters, lambda: '')
-    tree.on_stop('status', supervisor.closer(page))
-    return parts.node
+    status_server = status.serve(settings.http_listen, counters, lambda: '')
+    tree.on_stop('status', supervisor.closer(status_server))
+    return control_group.node
--- a/src/honeyport/control/evacuations.py
+++ b/src/honeyport/control/evacuations.py
@@ -1,9 +1,8 @@
-"""Orders of operators to evacuate a failure domain, and to take it back.
+"""Operators' orders to evacuate a failure domain and to end an evacuation.
 
-From the moment at which an order is acknowledged it is part of the replicated
-state. The routers' streams carry the evacuated domains ahead of everything
-that lets a router serve, so that a router with a lease from this leader knows
-them.
+An acknowledged order is part of the replicated state. The routers' streams
+carry the evacuated domains ahead of leases and configurations, so that every
+router with a lease from this leader knows them.
 """
 
 from honeyport.control import replica
@@ -14,26 +13,25 @@
 
 
 class Evacuations:
-    """Takes orders about failure domains on one control replica."""
+    """Commits evacuations on one control replica."""
 
     def __init__(self, node: replica.Replica) -> None:
         self._node = node
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """The domains that are evacuated, as far as this replica knows."""
+        """The evacuated domains in this replica's state."""
         return self._node.machine.evacuated
 
     async def order(self, domain: str, *, ends: bool) -> None:
-        """Return once it is committed that a domain gets nothing new.
+        """Commit that an evacuation begins or ends.
 
-        The same order may come again, whatever became of the one before. It
-        is committed also where it changes nothing: another one may be on its
-        way to the log, and their order there alone decides.
+        An order may be repeated. It is committed even if it changes nothing,
+        because an opposite one may be pending, and the log's order decides.
 
-        :param ends: whether the domain is taken back
-        :raises errors.NotLeader: if another replica has to be asked
-        :raises errors.CommitUnknown: if nobody knows whether it is in force
+        :param ends: whether the evacuation ends, instead of beginning
+        :raises errors.NotLeader: if another replica leads
+        :raises errors.CommitUnknown: if the commit's outcome is unknown
         """
         if not self._node.leads:
             raise errors.NotLeader(leader=self._node.leader_address)
--- a/src/honeyport/control/introductions.py
+++ b/src/honeyport/control/introductions.py
@@ -1,7 +1,7 @@
-"""A leader's calls to routers that have no stream to it.
+"""Calls of a leader to routers that have no stream to it.
 
-Where the routers listen is part of the replicated state, so that it outlives
-a loss of all processes (:mod:`honeyport.policy.reconnects`).
+The routers' addresses are part of the replicated state, so that they survive
+a restart of all processes (:mod:`honeyport.policy.reconnects`).
 """
 
 import asyncio
@@ -19,22 +19,19 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import honeyport_pb2_grpc as rpc
 
-# Between two looks at who is missing, in seconds: half of the first pause
-# before a call.
-_PERIOD_S = 0.25
-# For one call, in seconds: what a router allows for the first word of a
-# leader.
-_CALL_S = 0.5
-# Calls at once. Each has a connection of its own; a new leader that called 216
-# routers within a second answered its followers too late, and the next one did
-# the same.
-_MOST_CALLS = 16
+# Pause between two checks for missing routers, in seconds: half of the first
+# pause before a call.
+_CHECK_INTERVAL_S = 0.25
+# Same as a router's timeout for the first message of a leader.
+_CALL_TIMEOUT_S = 0.5
+# Each call opens a connection; too many at once would delay the heartbeats.
+_MAX_CONCURRENT_CALLS = 16
 
 
 class Introductions:
-    """Calls missing routers while this replica leads, and forgets old ones.
+    """Calls missing routers while this replica leads, and removes old ones.
 
-    :param routers: the streams that stand
+    :param routers: the streams of attached routers
     """
 
     def __init__(
@@ -45,54 +42,54 @@
     ) -> None:
         self._node = node
         self._sessions = routers
-        self._counters = counters
-        self._roster = reconnects.ReconnectSchedule()
+        self._metrics = counters
+        self._schedule = reconnects.ReconnectSchedule()
         self._calls: set[asyncio.Task[None]] = set()
         self._outcomes: dict[str, str] = {}  # of the latest call, by router
 
     async def run(self) -> None:
-        """Look for missing routers every now and then, until cancelled."""
+        """Call missing routers periodically, until cancelled."""
         while True:
-            await asyncio.sleep(_PERIOD_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             if not self._node.leads:
-                self._roster = reconnects.ReconnectSchedule()
+                self._schedule = reconnects.ReconnectSchedule()
                 self._outcomes.clear()
                 continue
             self._call_missing()
-            self._forget_outcomes()
-            await self._forget()
+            self._reset_outcomes()
+            await self._remove_expired()
 
-    async def _forget(self) -> None:
-        """Commit that some are called no longer, if there are any."""
-        gone = self._roster.expired(self._node.machine.routers, _now())
-        if not gone:
+    async def _remove_expired(self) -> None:
+        """Commit the removal of routers that were missing for too long."""
+        expired = self._schedule.expired(self._node.machine.routers, _now())
+        if not expired:
             return
         try:
-            await self._node.propose(pb.RouterChange(removed=gone))
-        except errors.HoneyportError as error:  # tried again in a moment
+            await self._node.propose(pb.RouterChange(removed=expired))
+        except errors.HoneyportError as error:  # retried in the next round
             logs.emit(
                 events.ROUTERS_UNSAVED, code=error.code, detail=error.detail
             )
             return
-        logs.emit(events.ROUTERS_CHANGED, put=[], removed=gone)
+        logs.emit(events.ROUTERS_CHANGED, put=[], removed=expired)
 
-    def _forget_outcomes(self) -> None:
-        """Have the next call to a router that came back logged again."""
+    def _reset_outcomes(self) -> None:
+        """Have the next call to a router that attached logged again."""
         for name in self._sessions.attached:
             self._outcomes.pop(name, None)
 
     def _call_missing(self) -> None:
-        known = self._node.machine.routers
-        room = _MOST_CALLS - len(self._calls)
-        for name in self._roster.due(
-            known, self._sessions.attached, _now(), room
+        addresses = self._node.machine.routers
+        free_calls = _MAX_CONCURRENT_CALLS - len(self._calls)
+        for name in self._schedule.due(
+            addresses, self._sessions.attached, _now(), free_calls
         ):
-            task = asyncio.create_task(self._call(name, known[name]))
+            task = asyncio.create_task(self._introduce(name, addresses[name]))
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
 
-    async def _call(self, name: str, address: str) -> None:
-        """Tell one router where we are; it attaches by itself."""
+    async def _introduce(self, name: str, address: str) -> None:
+        """Send the leader's address to a router, which then attaches."""
         introduction = pb.Redirect(
             leader=self._node.leader_address,
             replicas=self._node.member_addresses,
@@ -100,18 +97,18 @@
         channel = channels.connect(address)
         try:
             await rpc.ContactStub(channel).Introduce(
-                introduction, timeout=_CALL_S
+                introduction, timeout=_CALL_TIMEOUT_S
             )
         except grpc.aio.AioRpcError as error:
-            self._note(name, error.code().name.lower())
+            self._record_outcome(name, error.code().name.lower())
         else:
-            self._note(name, 'told')
+            self._record_outcome(name, 'told')
         finally:
             await channel.close()
 
-    def _note(self, name: str, outcome: str) -> None:
-        """Count a call, and log it if it ended unlike the one before."""
-        self._counters.count('control_introductions', outcome=outcome)
+    def _record_outcome(self, name: str, outcome: str) -> None:
+        """Count a call; log its outcome if it differs from the last one."""
+        self._metrics.count('control_introductions', outcome=outcome)
         if self._outcomes.get(name) != outcome:
             self._outcomes[name] = outcome
             logs.emit(events.ROUTER_CALLED, router=name, outcome=outcome)
--- a/src/honeyport/control/loads.py
+++ b/src/honeyport/control/loads.py
@@ -1,8 +1,8 @@
-"""What runs on all routers together, and the messages that tell them.
+"""Total loads of all routers, and the messages that carry them.
 
-The sums are the same for all routers, so each message is made once; a router
-takes its own part off. Of the backend servers only those are named whose sum
-changed since the message that a router got last.
+The totals are the same for all routers, so each message is built once; a
+router subtracts its own part. A message has only the backend servers whose
+totals changed since the last message to the router.
 """
 
 import attrs
@@ -12,18 +12,17 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import instance_load
 
-# Sums that a message can start from; at a tick of 50 ms they go back 0.8 s,
-# three periods of reports. Each is 0.2 MB before 3,000 instances.
-_KEPT = 16
+# Totals that are kept as the base of a change: three periods of reports.
+_MAX_KEPT_TOTALS = 16
 
 
 @attrs.frozen(kw_only=True)
 class LoadTotals:
     """The reports of all routers, added up.
 
-    :ivar totals: what runs or waits, by service
-    :ivar codes: what runs, and who is out of reach, by backend server: the
-        codes of :mod:`honeyport.wire.instance_load`
+    :ivar totals: the number of running and waiting requests, by service
+    :ivar codes: running requests and reachability by backend server, encoded
+        by :mod:`honeyport.wire.instance_load`
     :ivar settled: the highest view that every router with a lease has
     :ivar settled_version: the lowest version in force on one of them
     :ivar down: backend servers that do not answer
@@ -39,7 +38,7 @@
 
 
 class Loads:
-    """The latest sum, and what leads to it from those before.
+    """The latest totals, and changes to them from earlier ones.
 
     :param lists: the lists of instances that the routers have
     """
@@ -49,36 +48,36 @@
         self._list_number = 0
         self._latest: LoadTotals | None = None
         self._history: deltas.History[int, pb.Loads] = deltas.History(
-            _KEPT, self._make
+            _MAX_KEPT_TOTALS, self._make_message
         )
 
     @property
     def number(self) -> int:
-        """Counts the sums that differ from the one before."""
+        """The number of the latest totals; 0 before the first ones."""
         return self._history.number
 
-    def update(self, found: LoadTotals) -> None:
-        """Take a new sum, if it differs.
+    def update(self, totals: LoadTotals) -> None:
+        """Set new totals, if they differ from the latest ones.
 
-        With a new list of instances the same ones have other indexes, and
-        all of them are told.
+        With a new list of instances the indexes change, so that the next
+        message has all instances.
         """
         if self._lists.number != self._list_number:
             self._list_number = self._lists.number
             self._history.clear()
-        elif found == self._latest:
+        elif totals == self._latest:
             return
-        self._latest = found
-        self._history.append(self._history.number + 1, found.codes)
+        self._latest = totals
+        self._history.append(self._history.number + 1, totals.codes)
 
     def message(self, base: int) -> pb.Loads:
-        """Return what brings a router to the latest sum.
+        """Return the message that updates a router to the latest totals.
 
-        :param base: the number of the sum that it has; 0 for none
+        :param base: the number of the totals that it has; 0 for none
         """
         return self._history.message(base)
 
-    def _make(self, change: deltas.Change[int]) -> pb.Loads:
+    def _make_message(self, change: deltas.Change[int]) -> pb.Loads:
         assert self._latest is not None
         latest = self._latest
         message = pb.Loads(
@@ -92,18 +91,25 @@
         )
         for service, running in sorted(latest.totals.items()):
             message.totals.add(service=service, running=running)
-        self._name(message, {**dict.fromkeys(change.removed, 0), **change.put})
+        self._add_instance_loads(
+            message, {**dict.fromkeys(change.removed, 0), **change.put}
+        )
         return message
 
-    def _name(self, message: pb.Loads, codes: dict[str, int]) -> None:
-        """Say what runs, by index where the list of instances has one."""
+    def _add_instance_loads(
+        self, message: pb.Loads, codes: dict[str, int]
+    ) -> None:
+        """Add the loads of instances, by index or else by name.
+
+        Indexes ascend and are encoded as differences.
+        """
         indexes = self._lists.indexes
-        before = -1
+        previous_index = -1
         listed = [name for name in codes if name in indexes]
         for name in sorted(listed, key=indexes.__getitem__):
-            message.steps.append(indexes[name] - before)
+            message.steps.append(indexes[name] - previous_index)
             message.codes.append(codes[name])
-            before = indexes[name]
+            previous_index = indexes[name]
         for name in sorted(codes.keys() - indexes.keys()):
             load = instance_load.decode(codes[name])
             message.residuals.add(backend=name, running=load.running)
--- a/src/honeyport/control/operators.py
+++ b/src/honeyport/control/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of the control group."""
+"""RPC service of the control group for operators."""
 
 import asyncio
 
@@ -18,9 +18,9 @@
 
 
 class OperatorService(rpc.OperatorServicer):
-    """Bundles in, status out.
+    """Accepts bundles, membership changes and evacuations; returns status.
 
-    :param genesis: who may sign the first bundle
+    :param genesis: the signers of the first bundle
     """
 
     def __init__(
@@ -77,10 +77,10 @@
         return self._status()
 
     async def submit(self, signed: signing.Signed) -> pb.SubmitAnswer:
-        """Accept a signed bundle, or say why not.
+        """Accept a signed bundle.
 
-        The same version with the same digest gets the same receipt, how
-        often it may come.
+        A repeated submission of the same version and digest gets the same
+        receipt.
 
         :raises errors.HoneyportError: if it is not accepted
         """
@@ -112,10 +112,13 @@
             return pb.SubmitAnswer(
                 version=signed.version, digest=signed.digest
             )
-        return self._receipt(signed) or self._conflict(signed)
+        return self._receipt(signed) or self._raise_conflict(signed)
 
     async def seed(self, signed: signing.Signed) -> None:
-        """Submit the first bundle, as soon as we lead and none is there."""
+        """Submit the first bundle as soon as this replica leads.
+
+        Return when any bundle is accepted.
+        """
         while not self._node.machine.accepted.version:
             if self._node.leads:
                 await self.submit(signed)
@@ -124,40 +127,48 @@
     async def _evacuate(self, domain: str, *, ends: bool) -> None:
         """Begin or end an evacuation.
 
-        :raises errors.UnknownDomain: if nothing stands in that domain
+        :raises errors.UnknownDomain: if the domain has no router and no
+            backend server
         """
         if not self._node.leads:
             raise errors.NotLeader(leader=self._node.leader_address)
-        known = {one.member.domain for one in self._sessions.fleet.routers}
+        known_domains = {
+            router.member.domain for router in self._sessions.fleet.routers
+        }
         bundle = self._sessions.bundle
         if bundle is not None:
-            known |= {one.domain for one in bundle.backends.values()}
-        if domain not in known:
+            known_domains |= {
+                backend.domain for backend in bundle.backends.values()
+            }
+        if domain not in known_domains:
             raise errors.UnknownDomain(
-                f'no failure domain {domain!r}; there are {sorted(known)}'
+                f'no failure domain {domain!r}; '
+                f'the known ones are {sorted(known_domains)}'
             )
         await self._evacuations.order(domain, ends=ends)
 
     def _receipt(self, signed: signing.Signed) -> pb.SubmitAnswer | None:
-        """Return the receipt of a version that is accepted already.
+        """Return the receipt of a version that was accepted before.
 
+        :returns: ``None`` if the version is the next one
         :raises errors.VersionConflict: if another bundle has the version,
             or the version does not follow the accepted one
         """
         digest = self._node.machine.history.get(signed.version)
         if digest == signed.digest:
             return pb.SubmitAnswer(version=signed.version, digest=digest)
-        follows = self._node.machine.accepted.version + 1
-        if digest is not None or signed.version != follows:
-            self._conflict(signed)
+        next_version = self._node.machine.accepted.version + 1
+        if digest is not None or signed.version != next_version:
+            self._raise_conflict(signed)
         return None
 
-    def _conflict(self, signed: signing.Signed) -> pb.SubmitAnswer:
+    def _raise_conflict(self, signed: signing.Signed) -> pb.SubmitAnswer:
         accepted = self._node.machine.accepted
-        winner = self._node.machine.history.get(signed.version)
-        if winner:
+        accepted_digest = self._node.machine.history.get(signed.version)
+        if accepted_digest:
             raise errors.VersionConflict(
-                f'version {signed.version} is taken by the bundle {winner}'
+                f'version {signed.version} was accepted with the digest '
+                f'{accepted_digest}'
             )
         raise errors.VersionConflict(
             f'version {signed.version} does not follow the accepted '
--- a/src/honeyport/control/replacement.py
+++ b/src/honeyport/control/replacement.py
@@ -1,8 +1,7 @@
-"""Whole configurations from an operator who does not sign them.
+"""Unsigned whole configurations, as sent by the platform's operator.
 
-The highest version is in force. What is in force, or was overtaken, is
-acknowledged again and changes nothing, so an operator whose answer was
-lost may send the same to any replica as often as it likes.
+The highest version is in force. The version in force and older ones are
+acknowledged without effect, so that an operator may retry at any replica.
 """
 
 import zlib
@@ -18,24 +17,28 @@
 
 
 class Replacements:
-    """Takes and shows whole configurations on one control replica."""
+    """Commits and returns whole configurations on one control replica."""
 
     def __init__(self, node: replica.Replica) -> None:
         self._node = node
 
     async def replace(self, bundle: model.Bundle, document: bytes) -> None:
-        """Return once a configuration is committed, or was overtaken.
+        """Commit a configuration, unless its version is not newer.
 
-        :param bundle: what it says, checked
-        :param document: the text that it came as
-        :raises errors.NotLeader: if another replica has to be asked
-        :raises errors.CommitUnknown: if nobody knows whether it is in force
+        :param bundle: the configuration, validated
+        :param document: its text, as it was received
+        :raises errors.NotLeader: if another replica leads
+        :raises errors.CommitUnknown: if the commit's outcome is unknown
         """
         self._check_leads()
         version = bundle.version
-        held = self._node.machine.accepted.version
-        if version <= held:
-            logs.emit(events.REPLACEMENT_OVERTAKEN, version=version, has=held)
+        accepted_version = self._node.machine.accepted.version
+        if version <= accepted_version:
+            logs.emit(
+                events.REPLACEMENT_OVERTAKEN,
+                version=version,
+                has=accepted_version,
+            )
             return
         entries = bundle_entries.to_entries(bundle)
         await self._node.propose(
@@ -53,11 +56,11 @@
         )
 
     def read(self) -> bytes:
-        """Return the newest configuration, as it was sent.
+        """Return the text of the newest configuration.
 
-        The lease of the leader makes sure that there is no newer one.
+        The leader's lease guarantees that there is no newer one.
 
-        :raises errors.NotLeader: if another replica has to be asked
+        :raises errors.NotLeader: if another replica leads
         :raises errors.NotReady: before the first configuration
         """
         self._check_leads()
--- a/src/honeyport/control/router_updates.py
+++ b/src/honeyport/control/router_updates.py
@@ -67,7 +67,7 @@
     :param routers: the routers of the term
     :param lists: the lists of instances
     :param suspect_record: the suspect requests
-    :param pace: the rate limit of large updates
+    :param rate_limit: the rate limit of large updates
     """
 
     def __init__(
@@ -76,13 +76,13 @@
         routers: fleet.Fleet,
         lists: instance_lists.InstanceLists,
         suspect_record: suspects.Suspects,
-        pace: pacing.TokenBucket,
+        rate_limit: pacing.TokenBucket,
     ) -> None:
         self._node = node
         self._fleet = routers
         self._lists = lists
         self._suspects = suspect_record
-        self._pace = pace
+        self._rate_limit = rate_limit
         self._versions = versions.BundleVersions()
         self._accepted = node.machine.accepted
         self._latest_presence = _Presence({}, ())
@@ -149,7 +149,7 @@
         large = self._large_messages(router_state, hello)
         size = sum(message.ByteSize() for message in large.values())
         now = asyncio.get_running_loop().time()
-        if size <= _MAX_UNPACED_BYTES or self._pace.may_send(size, now):
+        if size <= _MAX_UNPACED_BYTES or self._rate_limit.may_send(size, now):
             items += [
                 pb.ControlItem(**{kind: message})
                 for kind, message in large.items()
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -74,7 +74,7 @@
         bandwidth_mbps: float = 1000.0,
     ) -> None:
         self._node = node
-        self._pace = pacing.for_link(bandwidth_mbps)
+        self._rate_limit = pacing.for_link(bandwidth_mbps)
         self._metrics = counters
         self._sessions: dict[str, Session] = {}
         self._lists = instance_lists.InstanceLists()
@@ -218,7 +218,7 @@
             self._fleet,
             self._lists,
             self._suspects,
-            self._pace,
+            self._rate_limit,
         )
 
     def _end_term(self) -> None:
