--- a/src/honeyport/bundle/entries.py
+++ b/src/honeyport/bundle/entries.py
@@ -1,9 +1,9 @@
 """A bundle as keyed entries: canonical form, digest and deltas.
 
-Every entry is a key such as ``backends/draft-1`` and its value as
-canonical JSON. The digest is the root of a tree of hashes: entries fall
-into buckets by their keys' hashes, and the root covers all buckets, so a
-change costs its own buckets and the root, however large the bundle.
+An entry is a key such as ``backends/draft-1`` and a value in canonical JSON.
+The digest is the root of a hash tree: entries are divided into buckets by the
+hash of their key, and the root is the hash of all buckets. A change hashes its
+own buckets and the root only, whatever the size of the bundle.
 """
 
 import collections.abc
@@ -18,26 +18,31 @@
 
 Entries = dict[str, str]
 
-_KEYED: dict[str, typing.Any] = {
+_KEYED_SECTIONS: dict[str, typing.Any] = {
     'services': model.Service,
     'backends': model.Backend,
     'models': model.Model,
     'accounts': model.Account,
     'routes': model.Route,
 }
-_SINGLE: dict[str, typing.Any] = {
+_SINGLE_SECTIONS: dict[str, typing.Any] = {
     'signers': model.Signers,
     'timing': model.Timing,
     'limits': model.Limits,
     'requests': model.RequestLimits,
 }
 _BUCKETS = 256
-_EMPTY = hashlib.sha256(b'').digest()
+_EMPTY_HASH = hashlib.sha256(b'').digest()
 
 
 @attrs.frozen
 class Delta:
-    """What leads from one version to another."""
+    """The difference between two versions.
+
+    :ivar base: the older version; 0 for none
+    :ivar put: entries that are new or changed
+    :ivar removed: keys of removed entries
+    """
 
     base: int
     version: int
@@ -46,57 +51,59 @@
 
 
 class EntrySet:
-    """All entries of a version; never changed, shared between versions.
+    """All entries of a version, with their hashes. Immutable.
 
     :param entries: key to canonical JSON
     """
 
     def __init__(self, entries: Entries) -> None:
         self._entries = entries
-        self._keys: dict[int, frozenset[str]] = _bucket_keys(entries)
-        self._hashes = [_EMPTY] * _BUCKETS
-        for bucket in self._keys:
-            self._hashes[bucket] = self._hash(bucket)
+        self._keys_by_bucket: dict[int, frozenset[str]] = _keys_in_buckets(
+            entries
+        )
+        self._bucket_hashes = [_EMPTY_HASH] * _BUCKETS
+        for bucket in self._keys_by_bucket:
+            self._bucket_hashes[bucket] = self._hash_bucket(bucket)
 
     @property
     def entries(self) -> Entries:
-        """The entries; not to be changed."""
+        """The entries, read-only."""
         return self._entries
 
     def digest(self, version: int) -> str:
-        """Return the digest of these entries as a version."""
+        """Return the digest of the entries under a version, in hexadecimal."""
         root = hashlib.sha256(f'honeyport {version}\n'.encode())
-        root.update(b''.join(self._hashes))
+        root.update(b''.join(self._bucket_hashes))
         return root.hexdigest()
 
     def apply(self, delta: Delta) -> 'EntrySet':
-        """Return the entries after a delta."""
+        """Return a new set with a delta applied."""
         changed = EntrySet.__new__(EntrySet)
         changed._entries = dict(self._entries)
-        changed._keys = dict(self._keys)
-        changed._hashes = list(self._hashes)
-        touched = set()
+        changed._keys_by_bucket = dict(self._keys_by_bucket)
+        changed._bucket_hashes = list(self._bucket_hashes)
+        changed_buckets = set()
         for key in delta.removed:
             changed._entries.pop(key, None)
             bucket = _bucket(key)
-            touched.add(bucket)
-            changed._keys[bucket] = changed._keys.get(bucket, frozenset()) - {
-                key
-            }
+            changed_buckets.add(bucket)
+            changed._keys_by_bucket[bucket] = changed._keys_by_bucket.get(
+                bucket, frozenset()
+            ) - {key}
         for key, value in delta.put.items():
             changed._entries[key] = value
             bucket = _bucket(key)
-            touched.add(bucket)
-            changed._keys[bucket] = changed._keys.get(bucket, frozenset()) | {
-                key
-            }
-        for bucket in touched:
-            changed._hashes[bucket] = changed._hash(bucket)
+            changed_buckets.add(bucket)
+            changed._keys_by_bucket[bucket] = changed._keys_by_bucket.get(
+                bucket, frozenset()
+            ) | {key}
+        for bucket in changed_buckets:
+            changed._bucket_hashes[bucket] = changed._hash_bucket(bucket)
         return changed
 
-    def _hash(self, bucket: int) -> bytes:
-        found = sorted(self._keys[bucket])
-        pairs = [(key, self._entries[key]) for key in found]
+    def _hash_bucket(self, bucket: int) -> bytes:
+        keys = sorted(self._keys_by_bucket[bucket])
+        pairs = [(key, self._entries[key]) for key in keys]
         text = canonical(pairs) if pairs else ''
         return hashlib.sha256(text.encode()).digest()
 
@@ -105,16 +112,16 @@
     """Return the entries of a bundle."""
     entries = {
         name: canonical(attrs.asdict(getattr(bundle, name)))
-        for name in _SINGLE
+        for name in _SINGLE_SECTIONS
     }
-    for section in _KEYED:
+    for section in _KEYED_SECTIONS:
         for name, value in getattr(bundle, section).items():
             entries[f'{section}/{name}'] = canonical(attrs.asdict(value))
     return entries
 
 
 def from_entries(version: int, entries: Entries) -> model.Bundle:
-    """Return the bundle that entries make up."""
+    """Return the bundle that consists of entries."""
     empty = model.Bundle(
         version=version,
         signers=model.Signers(keys={}),
@@ -125,24 +132,24 @@
 
 
 def timing(entries: Entries) -> model.Timing:
-    """Return one part of a bundle, without reading the rest."""
+    """Return the timing of a bundle without parsing its other entries."""
     text = entries.get('timing')
-    return _structure(model.Timing, text) if text else model.Timing()
+    return _parse(model.Timing, text) if text else model.Timing()
 
 
 def apply_delta(bundle: model.Bundle, delta: Delta) -> model.Bundle:
-    """Return a bundle after a delta; what did not change is shared."""
-    sections = {name: dict(getattr(bundle, name)) for name in _KEYED}
-    singles = {name: getattr(bundle, name) for name in _SINGLE}
+    """Return a bundle with a delta applied; unchanged parts are shared."""
+    sections = {name: dict(getattr(bundle, name)) for name in _KEYED_SECTIONS}
+    singles = {name: getattr(bundle, name) for name in _SINGLE_SECTIONS}
     for key in delta.removed:
         section, _, name = key.partition('/')
         sections[section].pop(name, None)
     for key, text in delta.put.items():
         section, _, name = key.partition('/')
         if name:
-            sections[section][name] = _structure(_KEYED[section], text)
+            sections[section][name] = _parse(_KEYED_SECTIONS[section], text)
         else:
-            singles[section] = _structure(_SINGLE[section], text)
+            singles[section] = _parse(_SINGLE_SECTIONS[section], text)
     return model.Bundle(version=delta.version, **sections, **singles)
 
 
@@ -152,7 +159,11 @@
 
 
 def diff(base: int, old: Entries, version: int, new: Entries) -> Delta:
-    """Return what to change in ``old`` to get ``new``."""
+    """Return the difference between two versions.
+
+    :param old: the entries of version ``base``
+    :param new: the entries of ``version``
+    """
     put = {key: value for key, value in new.items() if old.get(key) != value}
     removed = tuple(sorted(key for key in old if key not in new))
     return Delta(base, version, put, removed)
@@ -165,11 +176,13 @@
     )
 
 
-def _structure(cls: typing.Any, text: str) -> typing.Any:
-    """Return the attrs object that an entry's JSON stands for."""
+def _parse(cls: typing.Any, text: str) -> typing.Any:
+    """Return an object of an attrs class, parsed from an entry's JSON."""
     values = json.loads(text)
-    lists = {key for key, value in values.items() if isinstance(value, list)}
-    for key in lists:
+    list_keys = {
+        key for key, value in values.items() if isinstance(value, list)
+    }
+    for key in list_keys:
         values[key] = tuple(values[key])
     return cls(**values)
 
@@ -178,10 +191,10 @@
     return xxhash.xxh3_64_intdigest(key.encode()) % _BUCKETS
 
 
-def _bucket_keys(
+def _keys_in_buckets(
     entries: collections.abc.Iterable[str],
 ) -> dict[int, frozenset[str]]:
-    keys: dict[int, set[str]] = {}
+    keys_by_bucket: dict[int, set[str]] = {}
     for key in entries:
-        keys.setdefault(_bucket(key), set()).add(key)
-    return {bucket: frozenset(found) for bucket, found in keys.items()}
+        keys_by_bucket.setdefault(_bucket(key), set()).add(key)
+    return {bucket: frozenset(keys) for bucket, keys in keys_by_bucket.items()}
--- a/src/honeyport/bundle/files.py
+++ b/src/honeyport/bundle/files.py
@@ -1,4 +1,4 @@
-"""Bundle files: reading YAML and the rules between its parts."""
+"""Bundle files: reading YAML and checking rules across sections."""
 
 import pathlib
 import re
@@ -14,7 +14,11 @@
 
 @attrs.frozen
 class Violation:
-    """A rule that a bundle breaks."""
+    """A rule that a bundle violates.
+
+    :ivar path: the field, with a dot between its parts
+    :ivar expected: the values that are allowed, for a message
+    """
 
     path: str
     expected: str
@@ -23,21 +27,21 @@
 def load(path: str | pathlib.Path) -> model.Bundle:
     """Read and check a bundle.
 
-    :raises errors.BundleInvalid: with file, line, field and what was
-        expected
+    :raises errors.BundleInvalid: with file, line, field and the expected
+        value
     """
     bundle = document.load(path, model.Bundle, errors.BundleInvalid)
-    found = find_violation(bundle)
-    if found:
-        line = _line(path, found.path)
+    violation = find_violation(bundle)
+    if violation:
+        line = _line(path, violation.path)
         raise errors.BundleInvalid(
-            f'{path}:{line}: {found.path}: expected {found.expected}'
+            f'{path}:{line}: {violation.path}: expected {violation.expected}'
         )
     return bundle
 
 
 def find_violation(bundle: model.Bundle) -> Violation | None:
-    """Return the first rule that the parts break together, if any."""
+    """Return the first violation of a rule across sections, if any."""
     for section in ('services', 'backends', 'models', 'accounts'):
         for name in getattr(bundle, section):
             if not _NAME.fullmatch(name):
@@ -58,12 +62,16 @@
 
 
 def _line(path: str | pathlib.Path, field: str) -> int:
-    """Return the line of the last part of a field's path that is there."""
+    """Return the line of a field in the file, from 1.
+
+    If the field is missing, it is the line of the last existing part of its
+    path.
+    """
     lines = pathlib.Path(path).read_text(encoding='utf-8').splitlines()
-    found = start = 0
+    found_line = search_start = 0
     for part in field.split('.'):
-        for number in range(start, len(lines)):
+        for number in range(search_start, len(lines)):
             if lines[number].strip().startswith(f'{part}:'):
-                found = start = number
+                found_line = search_start = number
                 break
-    return found + 1
+    return found_line + 1
--- a/src/honeyport/bundle/model.py
+++ b/src/honeyport/bundle/model.py
@@ -1,4 +1,4 @@
-"""What an operator configures: the attrs classes of a bundle."""
+"""The attrs classes of a bundle, the configuration of a fleet."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 ENGINE = 'engine'
 SERVICE = 'service'
 
-# What a repetition of a request may do.
+# Values of Route.semantics: whether a request may be repeated.
 IDEMPOTENT = 'idempotent'
 NON_IDEMPOTENT = 'non_idempotent'
 STREAMING = 'streaming'
--- a/src/honeyport/bundle/signing.py
+++ b/src/honeyport/bundle/signing.py
@@ -14,14 +14,14 @@
 from honeyport.bundle import model
 from honeyport import errors
 
-_CONTEXT = b'honeyport bundle\n'
+_SIGNATURE_CONTEXT = b'honeyport bundle\n'
 
 
 @attrs.frozen
 class Signed:
     """A bundle's entries with their signatures.
 
-    ``signatures`` maps a key's name to a signature in base64.
+    :ivar signatures: key name to signature, in base64
     """
 
     version: int
@@ -34,64 +34,71 @@
         return bundle_entries.digest(self.version, self.entries)
 
     def to_json(self) -> str:
-        """Return the text of a signed bundle's file."""
+        """Return the contents of a signed bundle's file."""
         return bundle_entries.canonical(attrs.asdict(self))
 
 
 def from_json(text: str) -> Signed:
-    """Read the text that :meth:`Signed.to_json` wrote.
+    """Parse the text that :meth:`Signed.to_json` returns.
 
-    :raises errors.BundleInvalid: if it is anything else
+    :raises errors.BundleInvalid: if it is not a signed bundle
     """
     try:
-        tree = json.loads(text)
+        document = json.loads(text)
         return Signed(
-            version=int(tree['version']),
-            entries=dict(tree['entries']),
-            signatures=dict(tree['signatures']),
+            version=int(document['version']),
+            entries=dict(document['entries']),
+            signatures=dict(document['signatures']),
         )
     except (ValueError, KeyError, TypeError, AttributeError):
         raise errors.BundleInvalid('this is not a signed bundle') from None
 
 
 def check(signed: Signed) -> model.Bundle:
-    """Return the bundle if every rule holds for it.
+    """Return the bundle after checking all rules.
 
-    :raises errors.BundleInvalid: if one does not
+    :raises errors.BundleInvalid: if an entry is unreadable or a rule is
+        violated
     """
     try:
         bundle = bundle_entries.from_entries(signed.version, signed.entries)
     except (KeyError, TypeError, ValueError) as error:
         raise errors.BundleInvalid(f'unreadable entry: {error!r}') from None
-    problem = files.find_violation(bundle)
-    if problem:
+    violation = files.find_violation(bundle)
+    if violation:
         raise errors.BundleInvalid(
-            f'{problem.path}: expected {problem.expected}'
+            f'{violation.path}: expected {violation.expected}'
         )
     return bundle
 
 
 def write_new_key(folder: str, name: str) -> str:
-    """Write a private key into a folder; return its public key in base64."""
+    """Write a new private key into a folder; return its public key.
+
+    :returns: the public key, in base64
+    :raises errors.UsageInvalid: if a key of that name exists
+    """
     key = ed25519.Ed25519PrivateKey.generate()
-    raw = key.private_bytes(
+    pem = key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
         serialization.NoEncryption(),
     )
     path = pathlib.Path(folder) / f'{name}.pem'
     if path.exists():
-        raise errors.UsageInvalid(f'{path} exists; it is not overwritten')
+        raise errors.UsageInvalid(f'{path} exists and is not overwritten')
     path.parent.mkdir(parents=True, exist_ok=True)
     path.touch(mode=0o600)
-    path.write_bytes(raw)
-    return _public_text(key)
+    path.write_bytes(pem)
+    return _encode_public_key(key)
 
 
 def sign(signed: Signed, key_path: str) -> Signed:
-    """Return the bundle with one more signature.
+    """Return the bundle with an additional signature.
+
+    The key's name is the name of its file without the suffix.
 
-    The key's name is the file's name without its ending.
+    :raises errors.UsageInvalid: if the file has no Ed25519 private key
     """
     path = pathlib.Path(key_path)
     try:
@@ -100,42 +107,43 @@
         raise errors.UsageInvalid(f'{path} is not a private key') from None
     if not isinstance(key, ed25519.Ed25519PrivateKey):
         raise errors.UsageInvalid(f'{path} is not an Ed25519 key')
-    signature = key.sign(_CONTEXT + signed.digest.encode())
+    signature = key.sign(_SIGNATURE_CONTEXT + signed.digest.encode())
     signatures = dict(signed.signatures)
     signatures[path.stem] = base64.b64encode(signature).decode()
     return attrs.evolve(signed, signatures=signatures)
 
 
 def verify(signed: Signed, signers: model.Signers) -> None:
-    """Check that enough of the signers have signed.
+    """Check that the threshold of valid signatures is reached.
 
-    :raises errors.SignatureInvalid: if they have not
+    :raises errors.SignatureInvalid: if it is not
     """
-    right = {
+    valid_keys = {
         public
         for name, public in signers.keys.items()
-        if _is_right(signed, public, signed.signatures.get(name, ''))
+        if _is_valid(signed, public, signed.signatures.get(name, ''))
     }
-    if len(right) < signers.threshold:
+    if len(valid_keys) < signers.threshold:
         raise errors.SignatureInvalid(
-            f'{len(right)} right signatures, {signers.threshold} needed '
+            f'{len(valid_keys)} valid signatures, {signers.threshold} needed '
             f'from {", ".join(sorted(signers.keys))}'
         )
 
 
-def _is_right(signed: Signed, public: str, signature: str) -> bool:
+def _is_valid(signed: Signed, public_key: str, signature: str) -> bool:
     try:
         key = ed25519.Ed25519PublicKey.from_public_bytes(
-            base64.b64decode(public)
+            base64.b64decode(public_key)
         )
         key.verify(
-            base64.b64decode(signature), _CONTEXT + signed.digest.encode()
+            base64.b64decode(signature),
+            _SIGNATURE_CONTEXT + signed.digest.encode(),
         )
     except (ValueError, exceptions.InvalidSignature):
         return False
     return True
 
 
-def _public_text(key: ed25519.Ed25519PrivateKey) -> str:
+def _encode_public_key(key: ed25519.Ed25519PrivateKey) -> str:
     raw = key.public_key().public_bytes_raw()
     return base64.b64encode(raw).decode()
