--- a/features/control/sizes.feature
+++ b/features/control/sizes.feature
@@ -19,7 +19,7 @@
   Scenario: the instance list changes between a tick and the reads
     Given a leader with a list of 3000 instances
     And 30 gateways that are up to date
-    When they report new loads while instances leave the list between two ticks
+    When the gateways report new loads while instances leave the list between ticks
     Then each gateway has the leader's instance list
     And each gateway has the load of every instance
 
--- a/features/steps/history_steps.py
+++ b/features/steps/history_steps.py
@@ -40,7 +40,7 @@
     '{count:d} random histories of {size:d} replicas are run, with lost disks'
 )
 def step_histories(context, count, size):
-    _play_histories(context, count, size, _ACTIONS)
+    _run_histories(context, count, size, _ACTIONS)
 
 
 @behave.when(
@@ -48,10 +48,10 @@
     'disks and changed settings'
 )
 def step_histories_with_settings(context, count, size):
-    _play_histories(context, count, size, (*_ACTIONS, 'rename'))
+    _run_histories(context, count, size, (*_ACTIONS, 'rename'))
 
 
-def _play_histories(context, count, size, kinds):
+def _run_histories(context, count, size, kinds):
     context.played = []
 
     @hypothesis.settings(
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -269,7 +269,8 @@
 
 
 @behave.when(
-    'they report new loads while instances leave the list between two ticks'
+    'the gateways report new loads while instances leave the list between '
+    'ticks'
 )
 def step_change_between_ticks(context):
     random_source = random.Random(1)
--- a/src/honeyport/control/durable_log.py
+++ b/src/honeyport/control/durable_log.py
@@ -233,11 +233,11 @@
             )
             self._snapshot_due = state.index + retry_entries
             return
-        first_kept_after = max(
+        new_base_index = max(
             self._journal.base_index, state.index - _KEPT_ENTRIES
         )
-        self._base_members = self.members_at(first_kept_after)
-        self._journal.truncate_prefix(first_kept_after)
+        self._base_members = self.members_at(new_base_index)
+        self._journal.truncate_prefix(new_base_index)
         logs.emit(events.SNAPSHOT_TAKEN, index=state.index)
 
     async def _call_storage(
--- a/src/honeyport/control/leadership.py
+++ b/src/honeyport/control/leadership.py
@@ -152,9 +152,9 @@
         }
 
     def quorum_contact_at(self) -> float:
-        """Return the latest time since which a quorum has answered.
+        """Return when a quorum was last known to follow this leader.
 
-        It is the loop time of sending, not of the answer.
+        A quorum has answered messages sent at or after this loop time.
         """
         contact_times = {
             name: progress.contact_at
--- a/src/honeyport/control/links.py
+++ b/src/honeyport/control/links.py
@@ -19,9 +19,9 @@
 class GrpcLink:
     """gRPC client of the replica at an address.
 
-    :param timeout_s: timeout of all calls but ``install``, in seconds
-
     Failed calls raise ``ConnectionError``.
+
+    :param timeout_s: timeout of all calls but ``install``
     """
 
     def __init__(self, address: str, timeout_s: float) -> None:
--- a/src/honeyport/control/machine.py
+++ b/src/honeyport/control/machine.py
@@ -24,7 +24,7 @@
     :ivar digest: digest of the entries and the version
     :ivar contents: the entries
     :ivar signatures: signature by signer
-    :ivar document: the text it was made from, if it came as one
+    :ivar document: source text of a replaced bundle; empty after a delta
     """
 
     version: int = 0
--- a/src/honeyport/control/membership_manager.py
+++ b/src/honeyport/control/membership_manager.py
@@ -80,13 +80,13 @@
         the votes lost with a domain.
         """
         domain_by_replica = self._sessions.fleet.attached_replicas()
-        known = {member.name for member in members}
+        member_names = {member.name for member in members}
         member_counts = collections.Counter(
             domain
             for name, domain in domain_by_replica.items()
-            if name in known
+            if name in member_names
         )
-        candidates = sorted(set(domain_by_replica) - known)
+        candidates = sorted(set(domain_by_replica) - member_names)
         return min(
             candidates,
             key=lambda name: member_counts[domain_by_replica[name]],
--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -275,7 +275,7 @@
     # -- elections -------------------------------------------------------
 
     async def _wait_for_election_timeout(self) -> None:
-        """Wait until a follower's election timeout has passed."""
+        """Wait for an election timeout; while leader, check the quorum."""
         while True:
             if self._leadership is not None:
                 await asyncio.sleep(self._options.election_s / 2)
--- a/src/honeyport/control/voting.py
+++ b/src/honeyport/control/voting.py
@@ -35,7 +35,11 @@
 
 
 def grants_vote(state: VoterState, request: pb.VoteRequest) -> bool:
-    """Return whether a vote is granted (section 3.4; trial: 9.6)."""
+    """Return whether a vote is granted (section 3.4; trial: 9.6).
+
+    A vote that was given before is confirmed at any time. The wait after a
+    start does not apply to a candidate that needs the answers of all voters.
+    """
     if not state.admitted:
         return False
     if state.has_recent_leader:
