--- a/features/control/catalog.feature
+++ b/features/control/catalog.feature
@@ -1,110 +1,110 @@
-Feature: Prefixes keep their place while instances come and go
+Feature: Places are kept while instances are replaced
 
-  Scenario: a replacement takes over the place of the one that leaves
+  Scenario: a replacement takes over the place of a leaving instance
     Given a catalog that has read the instances a, b, c
     When it reads a, b, c, d, and c is leaving
     Then d has the place of c
 
-  Scenario: a replacement that comes before its predecessor leaves
+  Scenario: a replacement is listed before its predecessor leaves
     Given a catalog that has read the instances a, b, c
     When it reads a, b, c, d
     Then d has no place yet
     When it reads a, b, c, d, and a is leaving
     Then d has the place of a
 
-  Scenario: an addition gets a place of its own after a while
+  Scenario: an additional instance gets a place of its own after a delay
     Given a catalog that has read the instances a, b, c
     When it reads a, b, c, d
     And 4 seconds pass
     And it reads a, b, c, d
     Then d has the place of d
 
-  Scenario: a new leader keeps the places that it knows of
+  Scenario: a new leader keeps the committed places
     Given a catalog that has read the instances a, b, c
     When it reads a, b, c, d, and c is leaving
-    And another replica leads and reads a, b, d
+    And another replica becomes leader and reads a, b, d
     Then d has the place of c
 
-  Scenario: an instance that crashed comes back under another name
+  Scenario: a crashed instance restarts under another name
     Given a catalog that has read the instances a, b, c
     When it reads a, b
     And 20 seconds pass
     And it reads a, b, d
     Then d has the place of c
 
-  Scenario: a loss of all processes after a few replacements
+  Scenario: places survive a restart of all processes
     Given a catalog that has read the instances a, b, c
     When it reads a, b, d
     And it reads a, e, d
-    And all processes start anew and one reads a, d, e
+    And all processes restart and the leader reads a, d, e
     Then a has the place of a
     And d has the place of c
     And e has the place of b
 
-  Scenario: an instance that leaves keeps its place over a loss of all processes
+  Scenario: a leaving instance keeps its place after a restart of all processes
     Given a catalog that has read the instances a, b, c
     When it reads a, b, c, d, and c is leaving
-    And all processes start anew and one reads a, b, c, d, and c is leaving
+    And all processes restart and the leader reads a, b, c, d, and c is leaving
     Then c has the place of c
     And d has the place of c
 
-  Scenario: places that the log did not take are written later
+  Scenario: places whose commit failed are committed later
     Given a catalog that has read the instances a, b, c
-    When the log takes no entries
+    When commits fail
     And it reads a, b, d
     Then d has the place of c
-    When the log takes entries again
-    And all processes start anew and one reads a, b, d
+    When commits succeed again
+    And all processes restart and the leader reads a, b, d
     Then d has the place of c
 
-  Scenario: places of instances that are gone for good are dropped
+  Scenario: places of removed instances are deleted
     Given a catalog that has read the instances a, b, c
-    When instances a1 to a20 come one after the other
-    Then 6 places are kept at the most
+    When instances a1 to a20 are listed one after the other
+    Then at most 6 places are stored
 
-  Scenario: an instance is cold, and less so with every reading
+  Scenario: the remaining cold time decreases with every reading
     Given a catalog that has read the instances a, b, c
-    When the list names a, b, c, and says that c is cold for 3000 ms more
-    Then c is known to be cold for 3000 ms more
+    When the list has a, b, c, and c is cold for another 3000 ms
+    Then c is published as cold for another 3000 ms
     When 1 seconds pass
-    And the list names a, b, c, and says that c is cold for 2100 ms more
+    And the list has a, b, c, and c is cold for another 2100 ms
     And 1 seconds pass
-    And the list names a, b, c, and says that c is cold for 700 ms more
-    Then the list was told once for that
+    And the list has a, b, c, and c is cold for another 700 ms
+    Then exactly one new list was published
 
-  Scenario: an instance turns cold again
+  Scenario: an instance becomes cold again
     Given a catalog that has read the instances a, b, c
-    When the list names a, b, c, and says that c is cold for 3000 ms more
+    When the list has a, b, c, and c is cold for another 3000 ms
     And 4 seconds pass
-    And the list names a, b, c, and says that c is cold for 3000 ms more
-    Then c is known to be cold for 3000 ms more
+    And the list has a, b, c, and c is cold for another 3000 ms
+    Then c is published as cold for another 3000 ms
 
-  Scenario: a list is told for another reason while an instance is cold
+  Scenario: a list with another change is published while an instance is cold
     Given a catalog that has read the instances a, b, c
-    When the list names a, b, c, and says that c is cold for 3000 ms more
+    When the list has a, b, c, and c is cold for another 3000 ms
     And 2 seconds pass
-    And the list names a, c, and says that c is cold for 800 ms more
-    Then c is known to be cold for 500 ms more
+    And the list has a, c, and c is cold for another 800 ms
+    Then c is published as cold for another 500 ms
 
-  Scenario: the list cannot be read for a while
+  Scenario: the list is unreadable
     Given a catalog that has read the instances a, b, c
-    When it cannot read the list
-    Then the instances are still a, b, c
+    When it fails to read the list
+    Then the known instances are a, b, c
 
-  Scenario: the later pages of a list cannot be read
+  Scenario: the later pages of the list are unreadable
     Given a catalog that has read the instances a, b, c
-    When a part that names a is all that it can read
-    Then the instances are still a, b, c
+    When a part of the list with a is readable
+    Then the known instances are a, b, c
 
-  Scenario: an entry in what could be read of a list names no instance
+  Scenario: the readable part of the list has an unusable entry
     Given a catalog that has read the instances a, b, c
-    When a part with a spoilt entry of b that names a is all it reads
-    Then the instances are still a, c
+    When a part with an unusable entry of b and the instances a is readable
+    Then the known instances are a, c
     And 1 entry is counted as refused
 
-  Scenario Outline: whoever serves the list wants to be asked less
+  Scenario Outline: the list is read less often if its server asks for a pause
     Given a catalog that has read the instances a, b, c
-    When the list is refused, to be asked for again in <named> s
+    When the server refuses the list and asks for a pause of <named> s
     Then it is read <count> times in 6 seconds
 
     Examples:
--- a/features/control/evacuations.feature
+++ b/features/control/evacuations.feature
@@ -1,11 +1,11 @@
-Feature: Which failure domains are evacuated is part of the replicated state
+Feature: Evacuated failure domains are part of the replicated state
 
-  Scenario: a snapshot keeps it
+  Scenario: a snapshot contains the evacuated domains
     Given a replicated state in which thu-duc, tan-binh are evacuated
     When it is restored from its snapshot
-    Then thu-duc, tan-binh are evacuated
+    Then the evacuated domains are thu-duc, tan-binh
 
-  Scenario: the order of the log decides, however often an order comes
+  Scenario: repeated and opposite orders take effect in the order of the log
     Given a replicated state in which thu-duc, tan-binh are evacuated
-    When the log ends thu-duc, begins thu-duc, begins thu-duc, ends tan-binh
-    Then thu-duc are evacuated
+    When the log has the orders ends thu-duc, begins thu-duc, begins thu-duc, ends tan-binh
+    Then the evacuated domains are thu-duc
--- a/features/steps/catalog_steps.py
+++ b/features/steps/catalog_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the catalog of instances, on a virtual clock."""
+"""Steps for the catalog of instances, on a virtual clock."""
 
 import asyncio
 
@@ -12,120 +12,129 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# Longer than a change of places waits, shorter than between two readings.
-_RECORDED_S = 0.5
+# In seconds: longer than the catalog takes to commit places, shorter than the
+# pause between two readings.
+_READ_AND_COMMIT_S = 0.5
 
 
-class _Leader:
-    """A control replica that leads, as far as the catalog sees it."""
+class _FakeLeader:
+    """Fake of a leading control replica, with what the catalog uses."""
 
     leads = True
 
     def __init__(self, term: int = 1) -> None:
         self.term = term
         self.machine = machine.Machine()
-        self.is_sound = True  # whether its log takes entries
+        self.commits_succeed = True
 
     async def propose(self, command):
-        """Commit a change of places at once."""
-        if not self.is_sound:
+        """Apply a change of places at once, or fail."""
+        if not self.commits_succeed:
             raise errors.CommitUnknown('no quorum')
         return self.machine.apply(pb.Entry(places=command))
 
 
-class Setting:
-    """A catalog and the list that it reads."""
+class CatalogSetup:
+    """A catalog with a fake leader and a fake list."""
 
     def __init__(self) -> None:
         self.loop = simulation.VirtualLoop()
-        self.listed: list[pb.Instance] | None = []
-        self.first_number = 0
+        self.listed_instances: list[pb.Instance] | None = []
+        self.first_cold_list_number = 0
         self.missing = ''
-        self.again_s: float | None = None
+        self.retry_after_s: float | None = None
         self.reads = 0
         self.refusals: list[readings.RefusedEntry] = []
         self.counters = metrics.Metrics()
-        self.node = _Leader()
-        self.lead()
+        self.node = _FakeLeader()
+        self.become_leader()
 
-    def lead(self) -> None:
-        """Begin a leadership."""
+    def become_leader(self) -> None:
+        """Create the catalog of a new leader."""
         self.catalog = catalog.Catalog(self.node, self._read, self.counters)
 
-    def start_anew(self) -> None:
-        """Begin with nothing but what a snapshot keeps."""
-        kept = pb.State.FromString(
+    def restart(self) -> None:
+        """Restart with the state of a snapshot only, as a new leader."""
+        snapshot = pb.State.FromString(
             self.node.machine.save().SerializeToString()
         )
-        self.node = _Leader(term=self.node.term + 1)
-        self.node.machine.restore(kept)
-        self.lead()
+        self.node = _FakeLeader(term=self.node.term + 1)
+        self.node.machine.restore(snapshot)
+        self.become_leader()
 
     def read(self, names: str, leaving: str = '') -> None:
         """Read a list of instances once."""
-        self.listed = [
+        self.listed_instances = [
             pb.Instance(id=name, service='llm', leaving=name == leaving)
             for name in names.split(', ')
         ]
-        self.look()
+        self.read_current_list()
 
-    def read_cold(self, names: str, name: str, cold_ms: int) -> None:
-        """Read a list that calls one of its instances cold."""
-        self.listed = [
+    def read_cold(self, names: str, cold_name: str, cold_ms: int) -> None:
+        """Read a list in which one instance is cold."""
+        self.listed_instances = [
             pb.Instance(
-                id=one, service='llm', cold_ms=cold_ms if one == name else 0
+                id=name,
+                service='llm',
+                cold_ms=cold_ms if name == cold_name else 0,
             )
-            for one in names.split(', ')
+            for name in names.split(', ')
         ]
-        self.first_number = self.first_number or self.catalog.number
-        self.look()
+        self.first_cold_list_number = (
+            self.first_cold_list_number or self.catalog.number
+        )
+        self.read_current_list()
 
-    def look(self) -> None:
-        """Read the list as it is, and let places be recorded."""
-        self.loop.run_until_complete(self._look())
+    def read_current_list(self) -> None:
+        """Read the current list once and commit changed places."""
+        self.loop.run_until_complete(self._read_and_commit())
 
     def count_reads(self, seconds: float) -> int:
-        """Return how often the list is read in some seconds."""
+        """Return how often the list is read within a time."""
         self.reads = 0
-        self.loop.run_until_complete(self._read_for(seconds))
+        self.loop.run_until_complete(self._run_for(seconds))
         return self.reads
 
-    async def _read_for(self, seconds: float) -> None:
-        reading = asyncio.create_task(self.catalog.run())
+    async def _run_for(self, seconds: float) -> None:
+        read_task = asyncio.create_task(self.catalog.run())
         await asyncio.sleep(seconds)
-        reading.cancel()
+        read_task.cancel()
 
-    async def _look(self) -> None:
-        reading = asyncio.create_task(self.catalog.run())
-        recording = asyncio.create_task(self.catalog.persist_places())
-        await asyncio.sleep(_RECORDED_S)
-        for task in (reading, recording):
+    async def _read_and_commit(self) -> None:
+        read_task = asyncio.create_task(self.catalog.run())
+        commit_task = asyncio.create_task(self.catalog.persist_places())
+        await asyncio.sleep(_READ_AND_COMMIT_S)
+        for task in (read_task, commit_task):
             task.cancel()
-        await asyncio.wait([reading, recording])
+        await asyncio.wait([read_task, commit_task])
 
     async def _read(self) -> readings.Reading:
         self.reads += 1
-        if self.listed is None:
-            raise errors.ListUnreadable('no answer', retry_after=self.again_s)
+        if self.listed_instances is None:
+            raise errors.ListUnreadable(
+                'no answer', retry_after=self.retry_after_s
+            )
         return readings.Reading(
-            instances=self.listed,
+            instances=self.listed_instances,
             refusals=self.refusals,
             missing=self.missing,
         )
 
     def place(self, name: str) -> str:
         """Return the place of an instance."""
-        found = {one.id: one.place for one in self.catalog.latest}
-        return found[name]
+        places = {
+            instance.id: instance.place for instance in self.catalog.latest
+        }
+        return places[name]
 
 
 @behave.given('a catalog that has read the instances {names}')
 def step_catalog(context, names):
-    context.catalog = Setting()
+    context.catalog = CatalogSetup()
     context.catalog.read(names)
 
 
-@behave.when('a part that names {names} is all that it can read')
+@behave.when('a part of the list with {names} is readable')
 def step_read_part(context, names):
     context.catalog.missing = 'no answer'
     context.catalog.read(names)
@@ -133,7 +142,8 @@
 
 
 @behave.when(
-    'a part with a spoilt entry of {name} that names {names} is all it reads'
+    'a part with an unusable entry of {name} and the instances {names} is '
+    'readable'
 )
 def step_read_part_refused(context, names, name):
     refusal = readings.RefusedEntry(id=name, reason='slots is unusable')
@@ -157,53 +167,56 @@
 
 
 @behave.when(
-    'all processes start anew and one reads {names}, and {leaving} is leaving'
+    'all processes restart and the leader reads {names}, and {leaving} is '
+    'leaving'
 )
 def step_lead_leaving(context, names, leaving):
-    context.catalog.start_anew()
+    context.catalog.restart()
     context.catalog.read(names, leaving)
 
 
-@behave.when('another replica leads and reads {names}')
-@behave.when('all processes start anew and one reads {names}')
+@behave.when('another replica becomes leader and reads {names}')
+@behave.when('all processes restart and the leader reads {names}')
 def step_lead(context, names):
-    context.catalog.start_anew()
+    context.catalog.restart()
     context.catalog.read(names)
 
 
-@behave.when('the log takes no entries')
-def step_unsound(context):
-    context.catalog.node.is_sound = False
+@behave.when('commits fail')
+def step_commits_fail(context):
+    context.catalog.node.commits_succeed = False
 
 
-@behave.when('the log takes entries again')
-def step_sound(context):
-    context.catalog.node.is_sound = True
-    context.catalog.look()
+@behave.when('commits succeed again')
+def step_commits_succeed(context):
+    context.catalog.node.commits_succeed = True
+    context.catalog.read_current_list()
 
 
-@behave.when('instances a{first:d} to a{last:d} come one after the other')
+@behave.when(
+    'instances a{first:d} to a{last:d} are listed one after the other'
+)
 def step_turnover(context, first, last):
     for number in range(first, last + 1):
         context.catalog.read(f'a{number}, a{number + 1}, a{number + 2}')
         context.catalog.loop.run_until_complete(asyncio.sleep(5))
 
 
-@behave.then('{count:d} places are kept at the most')
-def step_kept(context, count):
+@behave.then('at most {count:d} places are stored')
+def step_stored(context, count):
     places = context.catalog.node.machine.places
     assert len(places) <= count, places
 
 
-@behave.when('it cannot read the list')
+@behave.when('it fails to read the list')
 def step_unreadable(context):
-    context.catalog.listed = None
-    context.catalog.look()
+    context.catalog.listed_instances = None
+    context.catalog.read_current_list()
 
 
-@behave.then('{name} has the place of {other}')
-def step_place(context, name, other):
-    assert context.catalog.place(name) == other
+@behave.then('{name} has the place of {place}')
+def step_place(context, name, place):
+    assert context.catalog.place(name) == place
 
 
 @behave.then('{name} has no place yet')
@@ -214,51 +227,52 @@
 @behave.then('{name} is leaving')
 def step_leaving(context, name):
     latest = context.catalog.catalog.latest
-    assert name in [one.id for one in latest if one.leaving]
+    assert name in [instance.id for instance in latest if instance.leaving]
 
 
 @behave.then('{count:d} entry is counted as refused')
 def step_refused(context, count):
-    found = context.catalog.counters.counter('list_entries_refused')
-    assert found == count, found
+    refused = context.catalog.counters.counter('list_entries_refused')
+    assert refused == count, refused
 
 
-@behave.then('the instances are still {names}')
-def step_still(context, names):
-    found = [one.id for one in context.catalog.catalog.latest]
-    assert ', '.join(found) == names, found
+@behave.then('the known instances are {names}')
+def step_known_instances(context, names):
+    known_names = [instance.id for instance in context.catalog.catalog.latest]
+    assert ', '.join(known_names) == names, known_names
 
 
 @behave.when(
-    'the list names {names}, and says that {name} is cold for {cold_ms:d} ms '
-    'more'
+    'the list has {names}, and {name} is cold for another {cold_ms:d} ms'
 )
 def step_read_cold(context, names, name, cold_ms):
     context.catalog.read_cold(names, name, cold_ms)
 
 
-@behave.then('{name} is known to be cold for {cold_ms:d} ms more')
+@behave.then('{name} is published as cold for another {cold_ms:d} ms')
 def step_is_cold(context, name, cold_ms):
-    listed = context.catalog.catalog.latest
-    found = {one.id: one.cold_ms for one in listed}
-    # Rounded down, after a sum of times.
-    assert abs(found.pop(name) - cold_ms) <= 1, found
-    assert not any(found.values()), found
+    instances = context.catalog.catalog.latest
+    cold_ms_by_name = {instance.id: instance.cold_ms for instance in instances}
+    # One millisecond less because of rounding down.
+    assert abs(cold_ms_by_name.pop(name) - cold_ms) <= 1, cold_ms_by_name
+    assert not any(cold_ms_by_name.values()), cold_ms_by_name
 
 
-@behave.then('the list was told once for that')
-def step_told_once(context):
-    first = context.catalog.catalog.number - 1
-    assert context.catalog.first_number == first
+@behave.then('exactly one new list was published')
+def step_one_list_published(context):
+    previous_number = context.catalog.catalog.number - 1
+    assert context.catalog.first_cold_list_number == previous_number
 
 
-@behave.when('the list is refused, to be asked for again in {seconds:d} s')
-def step_turned_away(context, seconds):
-    context.catalog.listed = None
-    context.catalog.again_s = float(seconds) or None
+@behave.when(
+    'the server refuses the list and asks for a pause of {seconds:d} s'
+)
+def step_refuses_list(context, seconds):
+    context.catalog.listed_instances = None
+    context.catalog.retry_after_s = float(seconds) or None
 
 
 @behave.then('it is read {count:d} times in {seconds:d} seconds')
 def step_count(context, count, seconds):
-    found = context.catalog.count_reads(float(seconds))
-    assert found == count, found
+    reads = context.catalog.count_reads(float(seconds))
+    assert reads == count, reads
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -1,4 +1,4 @@
-"""Steps about claims in the replicated state."""
+"""Steps for claims in the replicated state."""
 
 import behave
 
@@ -9,7 +9,7 @@
 _State = pb.ClaimAnswer
 
 
-def ask(context, action, retention=60, holder='r1/a/1', key=None):
+def apply_request(context, action, retention=60, holder='r1/a/1', key=None):
     """Apply one request; return the answer."""
     request = pb.ClaimRequest(
         action=action,
@@ -23,38 +23,38 @@
     return context.claims.apply(batch)[0]
 
 
-def begin(context, retention):
-    """Claim a fresh key."""
+def claim_new_key(context, retention):
+    """Claim a new key; fail if it is not granted."""
     context.now = _NOW_S
     context.claims = claims.Claims()
     context.key = claims.new_key(_NOW_S, lambda bits: 1)
-    answer = ask(context, pb.ClaimRequest.CLAIM, retention)
+    answer = apply_request(context, pb.ClaimRequest.CLAIM, retention)
     assert answer.state == _State.GRANTED
 
 
 @behave.given('a claim with a retention of {retention:d} seconds that is done')
 def step_done(context, retention):
-    begin(context, retention)
-    ask(context, pb.ClaimRequest.RECORD)
+    claim_new_key(context, retention)
+    apply_request(context, pb.ClaimRequest.RECORD)
 
 
 @behave.given(
-    'a claim with a retention of {retention:d} seconds that was given back'
+    'a claim with a retention of {retention:d} seconds that was released'
 )
-def step_given_back(context, retention):
-    begin(context, retention)
-    ask(context, pb.ClaimRequest.RELEASE)
+def step_released(context, retention):
+    claim_new_key(context, retention)
+    apply_request(context, pb.ClaimRequest.RELEASE)
 
 
 @behave.when('{seconds:d} seconds pass and other keys are claimed')
 def step_pass(context, seconds):
     context.now += seconds
     key = claims.new_key(context.now, lambda bits: 2)
-    ask(context, pb.ClaimRequest.CLAIM, key=key, holder='r1/a/2')
+    apply_request(context, pb.ClaimRequest.CLAIM, key=key, holder='r1/a/2')
 
 
-@behave.when('the clock goes back by {seconds:d} seconds')
-def step_back(context, seconds):
+@behave.when('the clock is set back by {seconds:d} seconds')
+def step_set_clock_back(context, seconds):
     context.now -= seconds
 
 
@@ -68,7 +68,7 @@
 
 @behave.when('the key is claimed with a retention of {retention:d} seconds')
 def step_claim(context, retention):
-    context.answer = ask(
+    context.answer = apply_request(
         context, pb.ClaimRequest.CLAIM, retention, holder='r2/b/1'
     )
 
--- a/features/steps/evacuated_steps.py
+++ b/features/steps/evacuated_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the evacuated failure domains of the replicated state."""
+"""Steps for the evacuated failure domains of the replicated state."""
 
 import behave
 
@@ -14,12 +14,12 @@
 
 @behave.when('it is restored from its snapshot')
 def step_restored(context):
-    text = context.machine.save().SerializeToString()
+    snapshot = context.machine.save().SerializeToString()
     context.machine = machine.Machine()
-    context.machine.restore(pb.State.FromString(text))
+    context.machine.restore(pb.State.FromString(snapshot))
 
 
-@behave.when('the log {orders}')
+@behave.when('the log has the orders {orders}')
 def step_log(context, orders):
     for order in orders.split(', '):
         verb, domain = order.split(' ')
@@ -29,7 +29,7 @@
             _apply(context.machine, ended=[domain])
 
 
-@behave.then('{domains} are evacuated')
+@behave.then('the evacuated domains are {domains}')
 def step_evacuated(context, domains):
     assert context.machine.evacuated == set(domains.split(', '))
 
