--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -8,7 +8,7 @@
 from honeyport import errors
 from honeyport.policy import fingerprints
 from honeyport.policy import placement
-from honeyport.router import end_detector
+from honeyport.router import witness
 from honeyport.settings import roles
 
 _HOST = 'yard.example'
@@ -67,7 +67,7 @@
         raise errors.ConnectionRefused
 
     context.under = []
-    context.witness = end_detector.EndDetector(
+    context.witness = witness.EndDetector(
         refuse, lambda instance, requests: context.under.append(requests)
     )
 
@@ -81,7 +81,7 @@
     async def fall_silent():
         for number in range(count):
             context.witness.record_timeout(instance, f'{number:032x}')
-        context.witness.record_gone('i-1', end_detector.CONNECTION_REFUSED)
+        context.witness.record_gone('i-1', witness.CONNECTION_REFUSED)
 
     context.run(fall_silent())
 
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -17,8 +17,8 @@
 from honeyport import errors
 from honeyport.policy import hashing
 from honeyport import reference
-from honeyport.router import fair_queue
 from honeyport.router import resume
+from honeyport.router import shares
 from honeyport.settings import document
 from honeyport.settings import roles
 
@@ -185,7 +185,7 @@
 def step_waiting(context, account, count, share):
     if not hasattr(context, 'queue'):
         context.unused = []
-        context.queue = fair_queue.FairQueue(lambda: context.unused.append(1))
+        context.queue = shares.FairQueue(lambda: context.unused.append(1))
         context.turns = []
         context.waiting = []
 
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -18,11 +18,11 @@
 from honeyport.policy import cold
 from honeyport.policy import draining
 from honeyport.policy import retry_budgets
-from honeyport.router import end_detector
 from honeyport.router import fleetstate
 from honeyport.router import redirector
 from honeyport.router import session
 from honeyport.router import suspects
+from honeyport.router import witness
 from honeyport.settings import roles
 from honeyport import supervisor
 from honeyport.telemetry import metrics
@@ -57,7 +57,7 @@
         self._pool = pool.Pool()
         self._gate = lease_gate.LeaseGate(self._state)
         self._suspects = suspects.SuspectTracker(counters)
-        self._end_detector = end_detector.EndDetector(
+        self._end_detector = witness.EndDetector(
             self._pool.probe, self._on_end
         )
         self._forwarder = forward.Forwarder(
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -24,9 +24,9 @@
 from honeyport.policy import placement
 from honeyport.policy import retry_budgets
 from honeyport.policy import suspicion
-from honeyport.router import end_detector
 from honeyport.router import fleetstate
 from honeyport.router import suspects
+from honeyport.router import witness
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
@@ -57,7 +57,7 @@
         signals: instance_signals.InstanceSignals,
         connection_pool: pool.Pool,
         budgets: retry_budgets.RetryBudgets,
-        detector: end_detector.EndDetector,
+        detector: witness.EndDetector,
         suspect_tracker: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
@@ -346,12 +346,10 @@
             self._end_detector.record_broken(instance, exchange.fingerprint)
         elif isinstance(error, errors.ConnectionRefused):
             self._end_detector.record_gone(
-                instance.id, end_detector.CONNECTION_REFUSED
+                instance.id, witness.CONNECTION_REFUSED
             )
         elif isinstance(error, errors.Misdirected):
-            self._end_detector.record_gone(
-                instance.id, end_detector.ADDRESS_REUSED
-            )
+            self._end_detector.record_gone(instance.id, witness.ADDRESS_REUSED)
 
     def _may_retry(
         self, exchange: exchanges.Exchange, error: errors.HoneyportError
--- a/src/honeyport/router/slots.py
+++ b/src/honeyport/router/slots.py
@@ -4,8 +4,8 @@
 
 from honeyport.backend import registry
 from honeyport.bundle import model
-from honeyport.router import fair_queue
 from honeyport.router import prefix_transfer
+from honeyport.router import shares
 
 DOWN_AFTER_FAILURES = 2  # consecutive failed connections
 _INITIAL_MEAN_DURATION_S = 0.5  # until the first request has ended
@@ -33,7 +33,7 @@
     config: model.Backend
     client: registry.Client
     recent_chats: prefix_transfer.RecentChats
-    queue: fair_queue.FairQueue = attrs.field(init=False)
+    queue: shares.FairQueue = attrs.field(init=False)
     running: int = 0
     ready: bool = False
     owned: bool = False
@@ -44,7 +44,7 @@
     mean_duration_s: float = _INITIAL_MEAN_DURATION_S
 
     def __attrs_post_init__(self) -> None:
-        self.queue = fair_queue.FairQueue(self.release)
+        self.queue = shares.FairQueue(self.release)
 
     def release(self) -> None:
         """Free the slot of a request that was granted one but not sent."""
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -19,11 +19,11 @@
 from honeyport.policy import backoffs
 from honeyport.policy import fingerprints
 from honeyport.policy import hashing
-from honeyport.router import end_detector
 from honeyport.router import fleetstate
 from honeyport.router import prefix_transfer
 from honeyport.router import slots
 from honeyport.router import suspects
+from honeyport.router import witness
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
@@ -58,7 +58,7 @@
         self._metrics = counters
         self._report_soon = report_soon
         self._suspects = suspect_tracker
-        self._end_detector = end_detector.EndDetector(
+        self._end_detector = witness.EndDetector(
             self._check_connection, suspect_tracker.record_end
         )
         self._servers: dict[str, slots.BackendState] = {}
@@ -455,7 +455,7 @@
             self._end_detector.record_broken(server, request)
         elif isinstance(error, errors.ConnectionRefused):
             self._end_detector.record_gone(
-                server.name, end_detector.CONNECTION_REFUSED
+                server.name, witness.CONNECTION_REFUSED
             )
         if isinstance(error, errors.BackendFull):
             server.limit = max(1.0, server.limit * _LIMIT_DECREASE_FACTOR)
