--- a/features/gateway/answers.feature
+++ b/features/gateway/answers.feature
@@ -1,11 +1,11 @@
-Feature: A caller gets its own whole answer, or a true failure
+Feature: A caller gets its own complete answer or a correct error
 
   Scenario Outline: what a caller gets
     Given a gateway for <kind> requests whose instances <steps>
     When a caller sends a request
     Then it gets <status>, and <count> requests arrived
 
-    Examples: what may run once is sent again only where it did not run
+    Examples: a non-idempotent request is repeated only if it did not run
       | kind           | steps                  | status | count |
       | non_idempotent | answer                 | 200    | 1     |
       | non_idempotent | fail                   | 500    | 1     |
@@ -22,7 +22,7 @@
       | streaming      | close; stream          | 502    | 1     |
       | streaming      | not run; stream        | 200    | 2     |
 
-    Examples: what is idempotent is sent again, as often as the route says
+    Examples: an idempotent request is repeated up to the limit of its route
       | kind       | steps                | status | count |
       | idempotent | close; answer        | 200    | 2     |
       | idempotent | fail; answer         | 200    | 2     |
@@ -33,24 +33,22 @@
       | idempotent | close; not run       | 502    | 3     |
       | idempotent | silent; answer       | 200    | 2     |
 
-  # After a failure domain was back, its instances had other names at the same
-  # addresses: 234 offers were turned away in three seconds, and 175 requests
-  # refused, for the allowance of offers was spent.
-  Scenario: an instance whose address another one has is left alone
+  # Repeated attempts on a reassigned address would use up the retry budget.
+  Scenario: an instance whose address was reassigned gets no more requests
     Given a gateway for idempotent requests whose instances misdirected; answer
     When a caller sends 30 requests on one connection
-    Then the instance that turned one away got no other
+    Then the instance that rejected a request got no more
 
-  Scenario: a failure is passed on where nothing may be offered again
-    Given a gateway without an allowance for idempotent requests whose instances fail; answer
+  Scenario: a failure is passed on if the retry budget is empty
+    Given a gateway without a retry budget for idempotent requests whose instances fail; answer
     When a caller sends a request
     Then it gets 500, and 1 requests arrived
-    And the answer is the whole answer of an instance
+    And the answer is the complete answer of an instance
 
-  Scenario Outline: only a whole answer is passed on as one
+  Scenario Outline: only a complete answer is passed on
     Given a gateway for non_idempotent requests whose instances <steps>
     When a caller sends a request
-    Then the answer is the whole answer of an instance
+    Then the answer is the complete answer of an instance
 
     Examples:
       | steps                |
@@ -59,10 +57,10 @@
       | unframed             |
       | not run; answer      |
 
-  Scenario Outline: a failure of ours does not look like an instance's
+  Scenario Outline: an error of the gateway does not look like an answer of an instance
     Given a gateway for non_idempotent requests whose instances <steps>
     When a caller sends a request
-    Then nothing in it says that an instance gave it
+    Then it contains nothing of an instance's answer
 
     Examples:
       | steps    |
@@ -71,23 +69,23 @@
       | busy     |
       | not run  |
 
-  Scenario: after a send that may have run, nobody says "not run"
+  Scenario: after an attempt that may have run, the error does not say "not run"
     Given a gateway for idempotent requests whose instances close; not run
     When a caller sends a request
-    Then it says that the request ran: None
+    Then its error has "ran" set to None
 
-  Scenario: a refusal says when to come back
+  Scenario: a refusal has a Retry-After
     Given a gateway for non_idempotent requests whose instances not run
     When a caller sends a request
-    Then it says that the request ran: False
-    And it is told when to come back
+    Then its error has "ran" set to False
+    And it has a Retry-After
 
-  Scenario: bytes that nobody asked for reach nobody
+  Scenario: unsolicited bytes of an instance reach no caller
     Given a gateway for non_idempotent requests whose instances answer, then foreign
     When a caller sends 5 requests on one connection
-    Then all get the whole answer of an instance
+    Then all get the complete answer of an instance
 
-  Scenario: an instance learns who asks, and never the key
+  Scenario: an instance gets the client account, but never the API key
     Given a gateway for idempotent requests whose instances fail; answer
     When a caller sends a request
     Then each arrival has the account and the instance, and no key
--- a/features/gateway/budget.feature
+++ b/features/gateway/budget.feature
@@ -1,9 +1,9 @@
-Feature: All gateways together keep to the allowance for repeated offers
+Feature: All gateways together stay within the retry budget
 
-  Scenario Outline: a service fails everything that it is offered
-    Given <gateways> gateways and an allowance of 0.2 and 58 more
-    When each of them gets 30 requests, and all offers fail
-    Then the offers beyond the first are within the allowance
+  Scenario Outline: a service fails all requests
+    Given <gateways> gateways and a retry budget of 0.2 per request plus 58
+    When each of them gets 30 requests, and all attempts fail
+    Then the retries are within the budget
 
     Examples:
       | gateways |
@@ -11,25 +11,25 @@
       | 9        |
       | 79       |
 
-  Scenario: all gateways start anew in the middle
-    Given 9 gateways and an allowance of 0.2 and 58 more
-    When each of them gets 30 requests, and all offers fail
-    And they start anew and do not know how many they are
-    And each of them gets 30 requests, and all offers fail
-    Then the offers beyond the first are within the allowance
+  Scenario: all gateways restart between requests
+    Given 9 gateways and a retry budget of 0.2 per request plus 58
+    When each of them gets 30 requests, and all attempts fail
+    And they restart without knowing the number of gateways
+    And each of them gets 30 requests, and all attempts fail
+    Then the retries are within the budget
 
-  Scenario: a few failures are always made good
-    Given 9 gateways and an allowance of 0.2 and 58 more
+  Scenario: a few failures are always retried
+    Given 9 gateways and a retry budget of 0.2 per request plus 58
     When each of them gets 30 requests, and one of them fails
-    Then 9 requests are offered once more
+    Then 9 requests are retried
 
-  Scenario: an instance crashes and all that ran there breaks at once
-    Given 10 gateways and an allowance of 0.2 and 60 more
-    When 86 requests a second come in for 12 seconds
+  Scenario: all requests of a crashed instance are retried
+    Given 10 gateways and a retry budget of 0.2 per request plus 60
+    When 86 requests a second arrive for 12 seconds
     And 52 streams break at once, 10 at one gateway
-    Then 52 requests are offered once more
+    Then 52 requests are retried
 
-  Scenario: whatever fails and starts anew
-    Given 10 gateways and an allowance of 0.2 and 60 more
+  Scenario: random failures and restarts
+    Given 10 gateways and a retry budget of 0.2 per request plus 60
     When random loads with failures and restarts are played 20 times
-    Then no window of the operators has more than the allowance
+    Then no budget window has more retries than allowed
--- a/features/gateway/ends.feature
+++ b/features/gateway/ends.feature
@@ -1,10 +1,10 @@
-Feature: An instance that ends is told from one whose connection breaks
+Feature: The end of an instance is distinguished from a broken connection
 
-  Scenario Outline: how an attempt broke
+  Scenario Outline: only a crash counts as an end
     Given a gateway for non_idempotent requests whose instances <steps>
     When a caller sends a request
     And 0.8 seconds pass at the gateway
-    Then <ends> ends of instances are seen, with <requests> requests
+    Then <ends> ends of instances are detected, with <requests> requests
 
     Examples:
       | steps   | ends | requests |
@@ -18,57 +18,57 @@
       | not run | 0    | 0        |
       | answer  | 0    | 0        |
 
-  Scenario: all that ran there is under the end
+  Scenario: all running requests are attributed to the end of their instance
     Given a gateway for non_idempotent requests whose instances silent; silent; silent; silent; end
     When callers send 5 different requests at once, and one instance is listed
     And 0.8 seconds pass at the gateway
-    Then 1 ends of instances are seen, with 5 requests
+    Then 1 ends of instances are detected, with 5 requests
 
-  Scenario: a request is repeated, and ends two instances
+  Scenario: a repeated request ends two instances
     Given a gateway for idempotent requests whose instances end; end; answer
     When a caller sends a request
     And 0.8 seconds pass at the gateway
-    Then 2 ends of instances are seen, with 2 requests
+    Then 2 ends of instances are detected, with 2 requests
 
-  Scenario: an instance falls silent and is no longer listed
+  Scenario: an instance stops responding and is no longer listed
     Given a gateway for non_idempotent requests whose instances silent
     When a caller sends a request
     And the instances that got requests are no longer listed
-    Then 1 ends of instances are seen, with 1 requests
+    Then 1 ends of instances are detected, with 1 requests
 
-  Scenario: an instance falls silent, leaves, and is no longer listed
+  Scenario: an instance stops responding, leaves, and is no longer listed
     Given a gateway for non_idempotent requests whose instances silent
     When a caller sends a request
     And the instances that got requests are listed as leaving
     And the instances that got requests are no longer listed
-    Then 0 ends of instances are seen, with 0 requests
+    Then 0 ends of instances are detected, with 0 requests
 
-  Scenario: an instance ends while it leaves
+  Scenario: a leaving instance ends
     Given a gateway for non_idempotent requests whose instances silent
     When a caller sends a request, and meanwhile its instance leaves and ends
     And 0.8 seconds pass at the gateway
-    Then 0 ends of instances are seen, with 0 requests
+    Then 0 ends of instances are detected, with 0 requests
 
-  Scenario: something in front of an instance takes connections for it
+  Scenario: a proxy accepts connections for an instance that ended
     Given a gateway for non_idempotent requests whose instances reset
     When a caller sends a request
     And 0.8 seconds pass at the gateway
-    Then 0 ends of instances are seen, with 0 requests
+    Then 0 ends of instances are detected, with 0 requests
     When the instances that got requests are no longer listed
-    Then 1 ends of instances are seen, with 1 requests
+    Then 1 ends of instances are detected, with 1 requests
 
-  Scenario: a thousand requests get no answer from one instance in time
-    Given a witness of ends
+  Scenario: the requests attributed to one end are bounded
+    Given an end detector
     When 3000 requests get no answer from an instance
-    Then 1000 of them are under its end
+    Then 1000 of them are attributed to its end
 
-  Scenario: a caller leaves and the instance ends afterwards
+  Scenario: a caller disconnects before the instance ends
     Given a gateway for non_idempotent requests whose instances silent
-    When a caller leaves while its request runs
+    When a caller disconnects while its request runs
     And the instances that got requests are no longer listed
-    Then 0 ends of instances are seen, with 0 requests
+    Then 0 ends of instances are detected, with 0 requests
 
-  Scenario Outline: which attempts are the same request
+  Scenario Outline: attempts with equal account, target and body are the same request
     Given a request of the account "a" for "<target>" with the body "<body>"
     Then another of the account "<account>" for "<other>" with "<with>" is <same>
 
--- a/features/gateway/smuggling.feature
+++ b/features/gateway/smuggling.feature
@@ -1,12 +1,12 @@
-Feature: Only what a caller sent, and all of it, reaches an instance
+Feature: An instance gets exactly the request that a caller sent
 
-  Scenario Outline: a request whose length is in doubt
+  Scenario Outline: a request with ambiguous or invalid framing is rejected
     Given a gateway for idempotent requests whose instances answer
-    When a caller sends a request with <doubt>
+    When a caller sends a request with <framing>
     Then no request arrived, and the connection is closed or refused
 
     Examples:
-      | doubt                             |
+      | framing                           |
       | two different lengths             |
       | a length and chunks               |
       | a negative length                 |
@@ -25,7 +25,7 @@
     When a caller sends a body in three chunks
     Then one request arrived, with that body
 
-  Scenario: headers that name the connection's own
+  Scenario: headers listed in Connection are not forwarded
     Given a gateway for idempotent requests whose instances answer
-    When a caller hides a header behind its connection
-    Then the arrival does not have it
+    When a caller lists a header in Connection
+    Then the forwarded request does not have it
--- a/features/gateway/streams.feature
+++ b/features/gateway/streams.feature
@@ -1,38 +1,38 @@
-Feature: A stream reaches its caller whole, or visibly broken
+Feature: A stream reaches its caller complete or visibly broken
 
-  Scenario: a whole stream
+  Scenario: a complete stream
     Given a gateway for streaming requests whose instances stream
     When a caller sends a request
     Then the caller has every event once, in order
 
-  Scenario: a stream that breaks off goes on at another instance
+  Scenario: a broken stream is resumed on another instance
     Given a gateway for streaming resumable requests whose instances stream cut; stream
     When a caller sends a request
     Then it gets 200, and 2 requests arrived
     And the caller has every event once, in order
 
-  Scenario: a stream whose instance falls silent goes on at another one
+  Scenario: a stream whose instance stops sending is resumed on another instance
     Given a gateway for streaming resumable requests whose instances stream and wait; stream
     When a caller sends a request
     Then it gets 200, and 2 requests arrived
     And the caller has every event once, in order
-    And the instance sees it within half a second
+    And the instance sees the disconnect within half a second
 
   Scenario: a stream that may not be resumed is cut
     Given a gateway for streaming requests whose instances stream cut; stream
     When a caller sends a request
     Then it gets 200, and 1 requests arrived
-    And the caller sees that the answer is not whole
+    And the caller sees that the answer is incomplete
 
   Scenario: a stream that outlasts its route's timeout is cut
     Given a gateway for streaming requests whose instances stream and wait
     When a caller sends a request
-    Then the caller sees that the answer is not whole
+    Then the caller sees that the answer is incomplete
 
-  Scenario Outline: an instance learns at once that the caller left
+  Scenario Outline: the disconnect of a caller reaches its instance at once
     Given a gateway for <kind> requests whose instances <steps>
-    When a caller leaves while its request runs
-    Then the instance sees it within half a second
+    When a caller disconnects while its request runs
+    Then the instance sees the disconnect within half a second
 
     Examples:
       | kind           | steps           |
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -11,7 +11,8 @@
 
 
 @behave.given(
-    '{count:d} gateways and an allowance of {ratio:g} and {extra:d} more'
+    '{count:d} gateways and a retry budget of {ratio:g} per request plus '
+    '{extra:d}'
 )
 def step_gateways(context, count, ratio, extra):
     context.allowance = retry_budgets.Allowance(ratio=ratio, extra=extra)
@@ -22,7 +23,7 @@
     context.now = 0.0
 
 
-@behave.when('each of them gets {count:d} requests, and all offers fail')
+@behave.when('each of them gets {count:d} requests, and all attempts fail')
 def step_all_fail(context, count):
     send(context, count, fails=lambda number: True)
 
@@ -32,13 +33,13 @@
     send(context, count, fails=lambda number: number == 0)
 
 
-@behave.when('they start anew and do not know how many they are')
+@behave.when('they restart without knowing the number of gateways')
 def step_anew(context):
     context.known = 0
     context.budgets = make(context, len(context.budgets))
 
 
-@behave.when('{per_s:d} requests a second come in for {seconds:d} seconds')
+@behave.when('{per_s:d} requests a second arrive for {seconds:d} seconds')
 def step_load(context, per_s, seconds):
     for number in range(per_s * seconds):
         context.now += 1 / per_s
@@ -66,7 +67,7 @@
         context.over += play(context, random.Random(seed))
 
 
-@behave.then('no window of the operators has more than the allowance')
+@behave.then('no budget window has more retries than allowed')
 def step_no_window(context):
     assert not context.over, context.over[:3]
 
@@ -117,14 +118,14 @@
     return context.allowance.ratio * most + context.allowance.extra
 
 
-@behave.then('the offers beyond the first are within the allowance')
+@behave.then('the retries are within the budget')
 def step_within(context):
     allowance = context.allowance
     most = allowance.ratio * context.requests + allowance.extra
     assert context.repeated <= most, (context.repeated, most)
 
 
-@behave.then('{count:d} requests are offered once more')
+@behave.then('{count:d} requests are retried')
 def step_once_more(context, count):
     assert context.repeated == count, context.repeated
 
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -31,7 +31,7 @@
         assert after == before or before == lost, (before, after)
 
 
-@behave.then('no instance is over its bound though one subject is hot')
+@behave.then('no instance exceeds its load bound under a hot subject')
 def step_bound(context):
     async def place():
         choice = choices.make_balancer('g-1', 'thu-duc', {})
--- a/features/steps/domain_steps.py
+++ b/features/steps/domain_steps.py
@@ -74,7 +74,7 @@
         return met
 
 
-@behave.given('a choice among {count:d} instances in each of {domains}')
+@behave.given('a balancer with {count:d} instances in each of {domains}')
 def step_choice(context, count, domains):
     context.setting = Setting(domains.split(', '), count)
 
@@ -91,7 +91,7 @@
     context.setting.run(context.setting.evacuate(domains.split(', ')))
 
 
-@behave.when('thu-duc is taken back')
+@behave.when('thu-duc is restored')
 def step_taken_back(context):
     context.setting.run(context.setting.evacuate(()))
 
@@ -101,19 +101,21 @@
     context.setting.run(asyncio.sleep(seconds))
 
 
-@behave.when('{count:d} requests of {subjects:d} prefixes come and stay')
+@behave.when(
+    '{count:d} requests of {subjects:d} prefixes arrive and keep running'
+)
 def step_fill(context, count, subjects):
     setting = context.setting
     context.met = setting.run(setting.fill(count, subjects))
 
 
-@behave.then('none met more than twice the mean of all instances, and 3')
+@behave.then('no chosen instance had more than twice the mean load plus 3')
 def step_bound(context):
     over = [one for one in context.met if one[0] > 2 * one[1] + 3]
     assert not over, over
 
 
-@behave.then('{count:d} requests of all kinds go to {domains}')
+@behave.then('{count:d} requests with and without prompts go to {domains}')
 def step_go(context, count, domains):
     context.choices = context.setting.run(context.setting.send(count))
     assert _domains(context.choices) == set(domains.split(', '))
@@ -131,7 +133,7 @@
     assert 'thu-duc' in _source_domains(context.choices)
 
 
-@behave.then('none of them copies a prefix from elsewhere')
+@behave.then('none of them copies a prefix from another region')
 def step_not_copied(context):
     assert _source_domains(context.choices) == {'thu-duc'}
 
@@ -146,14 +148,12 @@
     assert found <= most, found
 
 
-@behave.then('a request is refused as not run, with a time to come back')
+@behave.then('a request is refused as not run, with a retry time')
 def step_refused(context):
     _check_refused(context.setting, None)
 
 
-@behave.then(
-    'a request for hcm is refused as not run, with a time to come back'
-)
+@behave.then('a request for hcm is refused as not run, with a retry time')
 def step_refused_home(context):
     _check_refused(context.setting, _REGION)
 
--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -51,7 +51,9 @@
     context.run(_leave_and_end(context.setting))
 
 
-@behave.then('{ends:d} ends of instances are seen, with {requests:d} requests')
+@behave.then(
+    '{ends:d} ends of instances are detected, with {requests:d} requests'
+)
 def step_seen(context, ends, requests):
     counters = context.setting.counters
     found = (
@@ -61,7 +63,7 @@
     assert found == (ends, requests), found
 
 
-@behave.given('a witness of ends')
+@behave.given('an end detector')
 def step_witness(context):
     async def refuse(instance):
         raise errors.ConnectionRefused
@@ -86,7 +88,7 @@
     context.run(fall_silent())
 
 
-@behave.then('{count:d} of them are under its end')
+@behave.then('{count:d} of them are attributed to its end')
 def step_under(context, count):
     [requests] = context.under
     assert len(requests) == count, len(requests)
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -147,7 +147,7 @@
 
 
 @behave.given(
-    'a gateway without an allowance for {kind} requests whose instances '
+    'a gateway without a retry budget for {kind} requests whose instances '
     '{steps}'
 )
 def step_gateway_without(context, kind, steps):
@@ -165,8 +165,8 @@
 
 
 @behave.when(
-    'a caller with {limit:d} ms sends a request, and the lease comes after '
-    '{later:d} ms'
+    'a caller with a deadline of {limit:d} ms sends a request, and the lease '
+    'comes after {later:d} ms'
 )
 def step_early(context, limit, later):
     async def send():
@@ -180,7 +180,7 @@
     context.run(send())
 
 
-@behave.when('it has a configuration and a lease, and no list of instances')
+@behave.when('it has a configuration and a lease, but no list of instances')
 def step_no_list(context):
     async def allow():
         context.setting.configure('idempotent')
@@ -190,7 +190,7 @@
     context.run(allow())
 
 
-@behave.when('the list comes')
+@behave.when('the list arrives')
 def step_list(context):
     async def tell():
         context.setting.list()
@@ -198,13 +198,13 @@
     context.run(tell())
 
 
-@behave.then('it says that it is not ready: {reason}')
+@behave.then('the gateway is not ready: {reason}')
 def step_not_ready(context, reason):
     found = context.run(_not_ready(context.setting))
     assert found == reason, found
 
 
-@behave.then('it says that it is ready')
+@behave.then('the gateway is ready')
 def step_is_ready(context):
     assert context.run(_not_ready(context.setting)) == ''
 
@@ -231,7 +231,7 @@
     )
 
 
-@behave.when('a caller leaves while its request runs')
+@behave.when('a caller disconnects while its request runs')
 def step_leave(context):
     context.run(_leave(context.setting))
 
@@ -242,7 +242,7 @@
     state._lease_until = float('-inf')
 
 
-@behave.when('the key is taken away')
+@behave.when('the key is revoked')
 def step_revoke(context):
     context.setting.configure('idempotent', keys=('another',))
 
@@ -262,47 +262,47 @@
     assert found == (status, count), (found, context.got)
 
 
-@behave.then('the answer is the whole answer of an instance')
+@behave.then('the answer is the complete answer of an instance')
 def step_whole(context):
     assert context.got.whole and context.got.body == instances.BODY
     assert context.got.headers[_NAMES.digest] == 'd1'
 
 
-@behave.then('nothing in it says that an instance gave it')
+@behave.then("it contains nothing of an instance's answer")
 def step_own(context):
     assert _NAMES.digest not in context.got.headers, context.got
     assert instances.BODY not in context.got.body
 
 
-@behave.then('it says that the request ran: {said}')
+@behave.then('its error has "ran" set to {said}')
 def step_says(context, said):
     error = json.loads(context.got.body)['error']
     assert str(error['ran']) == said, error
 
 
-@behave.then('it is told when to come back')
+@behave.then('it has a Retry-After')
 def step_retry_after(context):
     assert float(context.got.headers['Retry-After']) > 0, context.got
 
 
-@behave.then('it is told to go elsewhere at once')
+@behave.then('it is told to reconnect elsewhere at once')
 def step_elsewhere(context):
     assert float(context.got.headers['Retry-After']) < 0.1, context.got
     assert context.got.headers['Connection'] == 'close', context.got
 
 
-@behave.then('it is told to come back in {first:d} to {last:d} ms')
+@behave.then('its Retry-After is {first:d} to {last:d} ms')
 def step_back_in(context, first, last):
     back_ms = float(context.got.headers['Retry-After']) * 1000
     assert first <= back_ms <= last, context.got
 
 
-@behave.then('it has that within {most:d} ms')
+@behave.then('it is answered within {most:d} ms')
 def step_within(context, most):
     assert context.took_s * 1000 <= most, context.took_s
 
 
-@behave.then('all get the whole answer of an instance')
+@behave.then('all get the complete answer of an instance')
 def step_all_whole(context):
     for got in context.all_got:
         assert (got.status, got.body) == (200, instances.BODY), got
@@ -316,12 +316,12 @@
     assert context.got.whole and found == wanted, context.got
 
 
-@behave.then('the caller sees that the answer is not whole')
+@behave.then('the caller sees that the answer is incomplete')
 def step_not_whole(context):
     assert not context.got.whole, context.got
 
 
-@behave.then('the instance sees it within half a second')
+@behave.then('the instance sees the disconnect within half a second')
 def step_seen(context):
     async def wait():
         arrivals = context.setting.script.arrivals
@@ -397,7 +397,7 @@
     return setting.gateway.not_ready_reason
 
 
-@behave.then('the instance that turned one away got no other')
+@behave.then('the instance that rejected a request got no more')
 def step_left_alone(context):
     first, *others = context.setting.script.arrivals
     assert others
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -57,7 +57,7 @@
         )
 
 
-@behave.given('a choice among the instances {names}')
+@behave.given('a balancer with the instances {names}')
 def step_choice(context, names):
     async def make():
         context.setting = Setting(names.split(', '))
@@ -113,7 +113,7 @@
     context.run(fail())
 
 
-@behave.when('the gateway starts anew')
+@behave.when('the gateway restarts')
 def step_start_anew(context):
     async def start():
         context.setting.balancer = choices.make_balancer('g-1', 'thu-duc', {})
@@ -136,7 +136,7 @@
     context.run(fail())
 
 
-@behave.when('the second choice of a prompt answers another one')
+@behave.when('the second choice of a prompt answers another prompt')
 def step_second_answers(context):
     setting = context.setting
     setting.balancer.record_success(
@@ -197,7 +197,7 @@
     return context.run(choose())
 
 
-@behave.given('{count:d} parts that were read on an instance')
+@behave.given('{count:d} parts that were cached on an instance')
 def step_parts(context, count):
     context.holders = prefixes.Holders()
     context.count = count
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -36,8 +36,7 @@
 
 
 @behave.given(
-    'a gateway with {count:d} instances and an allowance of {extra:d} more '
-    'offers'
+    'a gateway with {count:d} instances and a retry budget of {extra:d}'
 )
 def step_gateway(context, count, extra):
     context.setting = gateway_steps.GatewayFixture(
@@ -47,32 +46,36 @@
     context.to_stop.append(context.setting.stop)
 
 
-@behave.given('the instances {names} rest for {text}')
+@behave.given('the instances {names} rest for {text} s')
 def step_some_rest(context, names, text):
     _have_do(context, names.split(' and '), f'rest for {text}')
 
 
-@behave.given('all instances rest for {text}')
+@behave.given('all instances rest for {text} s')
 def step_all_rest(context, text):
     _have_do(context, _names(context), f'rest for {text}')
 
 
-@behave.given('the instances {names} say in their answers that they leave')
+@behave.given(
+    'the instances {names} announce in their answers that they leave'
+)
 def step_leave(context, names):
     _have_do(context, names.split(' and '), 'leaves, answer')
 
 
-@behave.given('the instances {names} say that they leave and {step}')
+@behave.given('the instances {names} announce that they leave and {step}')
 def step_leave_with(context, names, step):
     _have_do(context, names.split(' and '), f'leaves, {step}')
 
 
-@behave.given('all instances say that they leave and {step}')
+@behave.given('all instances announce that they leave and {step}')
 def step_all_leave(context, step):
     _have_do(context, _names(context), f'leaves, {step}')
 
 
-@behave.given('the instances {names} slow down for {text}')
+@behave.given(
+    'the instances {names} answer 429 with a Retry-After of {text} s'
+)
 def step_slow_down(context, names, text):
     _have_do(context, names.split(' and '), f'slow down for {text}')
 
@@ -99,7 +102,7 @@
     assert len(arrivals) == count, arrivals
 
 
-@behave.when('the list of instances and the configuration come anew')
+@behave.when('a new list of instances and a new configuration arrive')
 def step_anew(context):
     async def tell():
         context.setting.configure('idempotent')
@@ -108,16 +111,14 @@
     context.run(tell())
 
 
-@behave.then('whoever came in the first {ms:d} ms was served')
+@behave.then('all callers of the first {ms:d} ms were served')
 def step_first_served(context, ms):
     began = context.all_got[0].at
     early = [got for got in context.all_got if got.at < began + ms / 1000]
     assert early and all(got.status == _SERVED for got in early), early
 
 
-@behave.then(
-    'the log says once of each of {count:d} rests who asked for {s:g} s'
-)
+@behave.then('each of {count:d} rests of {s:g} s is logged once')
 def step_logged(context, count, s):
     rests = [
         (fields['backend'], fields['asked_s'], fields['rest_s'])
@@ -128,7 +129,7 @@
     assert {(asked, kept) for _, asked, kept in rests} == {(s, s)}, rests
 
 
-@behave.then('the log says of each arrival in a rest that it went there')
+@behave.then('each request that reached a resting instance is logged')
 def step_explained(context):
     used = [f for name, f in context.lines if name == 'resting_used']
     late = _late(context, _asks, _ON_THE_WIRE_S)
@@ -137,15 +138,15 @@
         assert {'backend', 'rested_s'} <= fields.keys(), fields
 
 
-@behave.then('nothing reaches an instance while it rests')
+@behave.then('no request reaches a resting instance')
 def step_rested(context):
     late = _late(context, _asks, _ON_THE_WIRE_S)
     assert not late, (len(late), late[:5])
 
 
 @behave.then(
-    'nothing reaches an instance {seconds:d} seconds after it said that it '
-    'leaves'
+    'no request reaches an instance {seconds:d} seconds after it announced '
+    'that it leaves'
 )
 def step_left(context, seconds):
     late = _late(context, _leaves, seconds)
@@ -160,7 +161,8 @@
 
 
 @behave.then(
-    'who was refused was told when the rest ends, within {most_ms:d} ms'
+    'refused callers get the end of the rest as retry time within '
+    '{most_ms:d} ms'
 )
 def step_told_when(context, most_ms):
     all_rest = [
--- a/features/steps/smuggling_steps.py
+++ b/features/steps/smuggling_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests whose end is in doubt."""
+"""Steps about requests with ambiguous or invalid framing."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
     b'POST /r/inner HTTP/1.1\r\nHost: yard.example\r\n'
     b'X-Request-Id: inner\r\nContent-Length: 0\r\n\r\n'
 )
-_DOUBTS = {
+_FRAMINGS = {
     'two different lengths': (
         b'Content-Length: 4\r\nContent-Length: 40\r\n\r\nbody' + _INNER
     ),
@@ -65,9 +65,9 @@
         await asyncio.sleep(_WAIT_S)
 
 
-@behave.when('a caller sends a request with {doubt}')
-def step_doubt(context, doubt):
-    context.back = context.run(send(context, _DOUBTS[doubt], ends=True))
+@behave.when('a caller sends a request with {framing}')
+def step_framing(context, framing):
+    context.back = context.run(send(context, _FRAMINGS[framing], ends=True))
 
 
 @behave.when('a caller sends a body that looks like a request')
@@ -88,7 +88,7 @@
     context.back = context.run(send(context, rest, ends=False))
 
 
-@behave.when('a caller hides a header behind its connection')
+@behave.when('a caller lists a header in Connection')
 def step_hidden(context):
     rest = (
         b'Connection: keep-alive, X-Secret\r\nX-Secret: 1\r\n'
@@ -109,7 +109,7 @@
     assert bodies == [context.body], bodies
 
 
-@behave.then('the arrival does not have it')
+@behave.then('the forwarded request does not have it')
 def step_does_not_have(context):
     (arrival,) = context.setting.script.arrivals
     assert 'X-Secret' not in arrival.headers, arrival.headers
--- a/src/honeyport/gateway/__init__.py
+++ b/src/honeyport/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Entry for callers that connect to any instance, with routes by host."""
+"""HTTP entry point of callers, which forwards to instances by routes."""
