--- a/bench/rests.py
+++ b/bench/rests.py
@@ -21,7 +21,7 @@
 from honeyport.gateway import headers
 from honeyport.gateway import instance_signals
 from honeyport.policy import prefixes
-from honeyport.policy import retry_budgets
+from honeyport.policy import repeats
 from honeyport.telemetry import metrics
 
 _DOMAINS = ('d-0', 'd-1', 'd-2')
@@ -87,8 +87,8 @@
             headers.HeaderNames(), metrics.Metrics()
         )
         self.balancer = balancer.Balancer(name, domain, {}, self.wishes)
-        self.budgets = retry_budgets.RetryBudgets(
-            retry_budgets.Allowance(), lambda: gateways
+        self.budgets = repeats.RetryBudgets(
+            repeats.Allowance(), lambda: gateways
         )
 
 
--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -5,7 +5,7 @@
 
 import behave
 
-from honeyport.policy import backoffs
+from honeyport.policy import rests
 from honeyport.policy import retry_after
 
 _NAME = 'i-1'
@@ -34,7 +34,7 @@
 
 @behave.then('it asks for {seconds:g} s')
 def step_asks(context, seconds):
-    rest = backoffs.Backoffs().request(_NAME, context.asked_s, 0.0)
+    rest = rests.Backoffs().request(_NAME, context.asked_s, 0.0)
     assert rest.granted_s == seconds, rest
 
 
@@ -46,7 +46,7 @@
 
 @behave.given('an instance that asked for {seconds:d} s of rest')
 def step_asked(context, seconds):
-    context.rests = backoffs.Backoffs()
+    context.rests = rests.Backoffs()
     context.now = 0.0
     context.rests.request(_NAME, float(seconds), context.now)
 
@@ -100,7 +100,7 @@
 )
 def step_gateways(context, count, seconds):
     context.asked_s = float(seconds)
-    all_rests = [backoffs.Backoffs() for _ in range(count)]
+    all_rests = [rests.Backoffs() for _ in range(count)]
     for one in all_rests:
         one.request(_NAME, context.asked_s, 0.0)
     context.ends = sorted(one.remaining_s(_NAME, 0.0) for one in all_rests)
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from honeyport.policy import retry_budgets
+from honeyport.policy import repeats
 
 _SERVICE = 'app'
 _WINDOW_S = 10.0
@@ -15,7 +15,7 @@
     '{extra:d}'
 )
 def step_gateways(context, count, ratio, extra):
-    context.allowance = retry_budgets.Allowance(ratio=ratio, extra=extra)
+    context.allowance = repeats.Allowance(ratio=ratio, extra=extra)
     context.known = count
     context.budgets = make(context, count)
     context.requests = 0
@@ -133,7 +133,7 @@
 def make(context, count):
     """Return the budgets of some gateways that have just started."""
     return [
-        retry_budgets.RetryBudgets(context.allowance, lambda: context.known)
+        repeats.RetryBudgets(context.allowance, lambda: context.known)
         for _ in range(count)
     ]
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -13,7 +13,7 @@
 from honeyport.gateway import daemon as gateway_daemon
 from honeyport import local
 from honeyport.policy import draining
-from honeyport.policy import retry_budgets
+from honeyport.policy import repeats
 from honeyport.settings import roles
 from honeyport import supervisor
 from honeyport.telemetry import metrics
@@ -50,7 +50,7 @@
             ),
             _NAMES,
             draining.DrainTimes(refuse_after_s=0.2, stop_after_s=2.0),
-            retry_budgets.Allowance(extra=extra),
+            repeats.Allowance(extra=extra),
             self.counters,
         )
         self.tree = supervisor.Supervisor('g-1')
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -7,8 +7,8 @@
 
 from features.support import choices
 from features.support import simulation
-from honeyport.policy import exclusions
 from honeyport.policy import prefixes
+from honeyport.policy import reach
 
 _PER_DOMAIN = 4
 _GATEWAYS_PER_DOMAIN = 3
@@ -70,11 +70,11 @@
     words = []
     for domain, down in context.down.items():
         resting = context.resting.get(domain, frozenset())
-        words.append(exclusions.GatewayReport(domain, down, resting))
+        words.append(reach.GatewayReport(domain, down, resting))
         # The other gateways of a domain have not tried.
         rest = _GATEWAYS_PER_DOMAIN - 1
-        words += [exclusions.GatewayReport(domain, frozenset())] * rest
-    found = exclusions.Exclusions().update(
+        words += [reach.GatewayReport(domain, frozenset())] * rest
+    found = reach.Exclusions().update(
         words, context.domains, context.silent, 0.0
     )
     assert found == wanted, found
@@ -82,15 +82,14 @@
 
 @behave.then('it is left alone for {lengths} seconds in turn')
 def step_lengths(context, lengths):
-    register = exclusions.Exclusions()
+    register = reach.Exclusions()
     now = 0.0
     words = [
-        exclusions.GatewayReport(domain, down)
+        reach.GatewayReport(domain, down)
         for domain, down in context.down.items()
     ]
     silence = [
-        exclusions.GatewayReport(domain, frozenset())
-        for domain in context.down
+        reach.GatewayReport(domain, frozenset()) for domain in context.down
     ]
     for length in lengths.split(', '):
         assert register.update(words, context.domains, set(), now)
@@ -127,7 +126,7 @@
             for number in range(gateways)
             if names[number % domains] != self.lost
         ]
-        self.reach = exclusions.Exclusions()
+        self.reach = reach.Exclusions()
         self.silent = {self.lost}
         self.offers = []
 
@@ -164,7 +163,7 @@
     def _tell(self, now):
         """Tell all what was out of reach a moment ago."""
         words = [
-            exclusions.GatewayReport(domain, frozenset(one.unreachable))
+            reach.GatewayReport(domain, frozenset(one.unreachable))
             for domain, one in zip(self.words, self.heard, strict=True)
         ]
         found = self.reach.update(words, self.domains, self.silent, now)
--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from honeyport.policy import reconnects
+from honeyport.policy import roster
 
 _STEP_S = 0.25
 
@@ -85,7 +85,7 @@
 
 def _play(context, seconds):
     """Return the roster after a time, and who was called when."""
-    played = reconnects.ReconnectSchedule()
+    played = roster.ReconnectSchedule()
     calls = []
     for step in range(int(seconds / _STEP_S) + 1):
         now = step * _STEP_S
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -12,7 +12,7 @@
 
 from honeyport.control import instance_lists
 from honeyport.control import loads
-from honeyport.policy import exclusions
+from honeyport.policy import reach
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
@@ -92,7 +92,7 @@
         self._lists = lists or instance_lists.InstanceLists()
         self._loads = loads.Loads(self._lists)
         self._known_domains: set[str] = set()
-        self._reach = exclusions.Exclusions()
+        self._reach = reach.Exclusions()
 
     @property
     def view(self) -> pb.View:
@@ -312,7 +312,7 @@
             if not router.silent and not router.has_view
         ]
         observations = [
-            exclusions.GatewayReport(
+            reach.GatewayReport(
                 router.member.domain, router.down, router.resting
             )
             for router in gateways
--- a/src/honeyport/control/introductions.py
+++ b/src/honeyport/control/introductions.py
@@ -1,7 +1,7 @@
 """Calls of a leader to routers that have no stream to it.
 
 The routers' addresses are part of the replicated state, so that they survive
-a restart of all processes (:mod:`honeyport.policy.reconnects`).
+a restart of all processes (:mod:`honeyport.policy.roster`).
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from honeyport.control import replica
 from honeyport.control import sessions
 from honeyport import errors
-from honeyport.policy import reconnects
+from honeyport.policy import roster
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
@@ -43,7 +43,7 @@
         self._node = node
         self._sessions = routers
         self._metrics = counters
-        self._schedule = reconnects.ReconnectSchedule()
+        self._schedule = roster.ReconnectSchedule()
         self._calls: set[asyncio.Task[None]] = set()
         self._outcomes: dict[str, str] = {}  # of the latest call, by router
 
@@ -52,7 +52,7 @@
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
             if not self._node.leads:
-                self._schedule = reconnects.ReconnectSchedule()
+                self._schedule = roster.ReconnectSchedule()
                 self._outcomes.clear()
                 continue
             self._call_missing()
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -17,7 +17,7 @@
 from honeyport.policy import addresses
 from honeyport.policy import cold
 from honeyport.policy import draining
-from honeyport.policy import retry_budgets
+from honeyport.policy import repeats
 from honeyport.router import fleetstate
 from honeyport.router import redirector
 from honeyport.router import session
@@ -41,7 +41,7 @@
         settings: roles.Router,
         names: gateway_headers.HeaderNames,
         leaving: draining.DrainTimes,
-        allowance: retry_budgets.Allowance,
+        allowance: repeats.Allowance,
         counters: metrics.Metrics,
     ) -> None:
         self._settings = settings
@@ -67,7 +67,7 @@
             self._balancer,
             self._signals,
             self._pool,
-            retry_budgets.RetryBudgets(
+            repeats.RetryBudgets(
                 allowance, lambda: len(self._state.serving_routers)
             ),
             self._end_detector,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -20,9 +20,9 @@
 from honeyport.gateway import routes
 from honeyport.gateway import silence_timeout
 from honeyport.policy import fingerprints
-from honeyport.policy import idle_timeouts
 from honeyport.policy import placement
-from honeyport.policy import retry_budgets
+from honeyport.policy import repeats
+from honeyport.policy import silence
 from honeyport.policy import suspicion
 from honeyport.router import fleetstate
 from honeyport.router import suspects
@@ -56,7 +56,7 @@
         load_balancer: balancer.Balancer,
         signals: instance_signals.InstanceSignals,
         connection_pool: pool.Pool,
-        budgets: retry_budgets.RetryBudgets,
+        budgets: repeats.RetryBudgets,
         detector: witness.EndDetector,
         suspect_tracker: suspects.SuspectTracker,
         counters: metrics.Metrics,
@@ -252,7 +252,7 @@
         """
         limits = None
         if exchange.may_repeat:
-            limits = idle_timeouts.timeouts(exchange.match.route)
+            limits = silence.timeouts(exchange.match.route)
         headers = exchange.headers(self._names, connection.instance)
         sent_at = asyncio.get_running_loop().time()
         single_attempt = attempt.Attempt(
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -11,8 +11,8 @@
 from honeyport import errors
 from honeyport.gateway import attempt
 from honeyport.gateway import headers as gateway_headers
-from honeyport.policy import backoffs
 from honeyport.policy import placement
+from honeyport.policy import rests
 from honeyport.policy import retry_after
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
@@ -54,7 +54,7 @@
         self._names = names
         self._on_leave = on_leave
         self._metrics = counters
-        self._rests = backoffs.Backoffs()
+        self._rests = rests.Backoffs()
         self._leaving_since: dict[str, float] = {}
         counters.gauge('instances_resting', lambda: len(self.resting))
 
--- a/src/honeyport/gateway/silence_timeout.py
+++ b/src/honeyport/gateway/silence_timeout.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing
 
-from honeyport.policy import idle_timeouts
+from honeyport.policy import silence
 
 
 class SilenceTimeout:
@@ -12,7 +12,7 @@
     :param limits: ``None`` for no timeout
     """
 
-    def __init__(self, limits: idle_timeouts.Timeouts | None) -> None:
+    def __init__(self, limits: silence.Timeouts | None) -> None:
         self._limits = limits
         first_s = limits.first_byte_s if limits else None
         self._timeout = asyncio.timeout(first_s)
--- a/src/honeyport/platform/node.py
+++ b/src/honeyport/platform/node.py
@@ -18,7 +18,7 @@
 from honeyport.platform import names
 from honeyport.platform import pages
 from honeyport.policy import draining
-from honeyport.policy import retry_budgets
+from honeyport.policy import repeats
 from honeyport import process
 from honeyport.settings import roles
 from honeyport import supervisor
@@ -83,7 +83,7 @@
             settings,
             names.HEADERS,
             draining.drain_times(self._boot.grace_s),
-            retry_budgets.Allowance(
+            repeats.Allowance(
                 ratio=self._boot.retry_ratio,
                 extra=self._boot.retry_extra,
                 window_s=self._boot.retry_window_s,
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -16,9 +16,9 @@
 from honeyport.bundle import model
 from honeyport import errors
 from honeyport import exchange
-from honeyport.policy import backoffs
 from honeyport.policy import fingerprints
 from honeyport.policy import hashing
+from honeyport.policy import rests
 from honeyport.router import fleetstate
 from honeyport.router import prefix_transfer
 from honeyport.router import slots
@@ -67,7 +67,7 @@
         )
         self._state_changed = asyncio.Event()
         self._lease_lapsed = False
-        self._backoffs = backoffs.Backoffs()
+        self._backoffs = rests.Backoffs()
         self._transfers = prefix_transfer.PrefixTransfers(state, counters)
         self._cancel_tasks: set[asyncio.Task[None]] = set()
         counters.gauge('steward_slots', lambda: len(self._owned_servers()))
