--- a/features/steps/domain_steps.py
+++ b/features/steps/domain_steps.py
@@ -76,37 +76,37 @@
 
 @behave.given('a balancer with {count:d} instances in each of {domains}')
 def step_choice(context, count, domains):
-    context.setting = Setting(domains.split(', '), count)
+    context.fixture = Setting(domains.split(', '), count)
 
 
 @behave.given('thu-duc is in hcm, and the others in danang')
 def step_regions(context):
-    for domain in context.setting.domains:
+    for domain in context.fixture.domains:
         region = 'hcm' if domain == 'thu-duc' else 'danang'
-        context.setting.regions[domain] = region
+        context.fixture.regions[domain] = region
 
 
 @behave.when('{domains} is evacuated')
 def step_evacuated(context, domains):
-    context.setting.run(context.setting.evacuate(domains.split(', ')))
+    context.fixture.run(context.fixture.evacuate(domains.split(', ')))
 
 
 @behave.when('thu-duc is restored')
 def step_taken_back(context):
-    context.setting.run(context.setting.evacuate(()))
+    context.fixture.run(context.fixture.evacuate(()))
 
 
 @behave.when('{seconds:d} seconds pass on the clock')
 def step_pass(context, seconds):
-    context.setting.run(asyncio.sleep(seconds))
+    context.fixture.run(asyncio.sleep(seconds))
 
 
 @behave.when(
     '{count:d} requests of {subjects:d} prefixes arrive and keep running'
 )
 def step_fill(context, count, subjects):
-    setting = context.setting
-    context.met = setting.run(setting.fill(count, subjects))
+    fixture = context.fixture
+    context.met = fixture.run(fixture.fill(count, subjects))
 
 
 @behave.then('no chosen instance had more than twice the mean load plus 3')
@@ -117,14 +117,14 @@
 
 @behave.then('{count:d} requests with and without prompts go to {domains}')
 def step_go(context, count, domains):
-    context.choices = context.setting.run(context.setting.send(count))
+    context.choices = context.fixture.run(context.fixture.send(count))
     assert _domains(context.choices) == set(domains.split(', '))
 
 
 @behave.then('{count:d} requests for hcm go to {domains}')
 def step_go_home(context, count, domains):
-    setting = context.setting
-    context.choices = setting.run(setting.send(count, _REGION))
+    fixture = context.fixture
+    context.choices = fixture.run(fixture.send(count, _REGION))
     assert _domains(context.choices) == set(domains.split(', '))
 
 
@@ -142,25 +142,25 @@
     'of {count:d} requests with prompts at most {most:d} go to thu-duc at once'
 )
 def step_few(context, count, most):
-    setting = context.setting
-    made = setting.run(setting.send(count, kinds=(True,)))
+    fixture = context.fixture
+    made = fixture.run(fixture.send(count, kinds=(True,)))
     found = sum(one.instance.domain == 'thu-duc' for one in made)
     assert found <= most, found
 
 
 @behave.then('a request is refused as not run, with a retry time')
 def step_refused(context):
-    _check_refused(context.setting, None)
+    _check_refused(context.fixture, None)
 
 
 @behave.then('a request for hcm is refused as not run, with a retry time')
 def step_refused_home(context):
-    _check_refused(context.setting, _REGION)
+    _check_refused(context.fixture, _REGION)
 
 
-def _check_refused(setting, regions):
+def _check_refused(fixture, regions):
     try:
-        setting.run(setting.send(1, regions))
+        fixture.run(fixture.send(1, regions))
     except errors.NoInstance as error:
         assert error.ran is False
         assert error.retry_after
--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -35,12 +35,12 @@
 
 @behave.given('a gateway that is about to start')
 def step_about(context):
-    context.setting = gateway_steps.GatewayFixture(['answer'])
+    context.fixture = gateway_steps.GatewayFixture(['answer'])
 
 
 @behave.when('its socket is opened early, and a caller sends a request')
 def step_open_send(context):
-    address = context.setting.address
+    address = context.fixture.address
     open_early(context, f'zone=thu-duc\nlisten.frontend={address}\n')
 
     async def send():
@@ -53,18 +53,18 @@
 
 @behave.when('the gateway starts on that socket')
 def step_start(context):
-    setting = context.setting
+    fixture = context.fixture
 
     async def start():
-        opened = early.take(setting.address)
+        opened = early.take(fixture.address)
         assert opened is not None
-        await setting.begin(opened)
-        setting.allow('idempotent')
-        context.got = await caller.read(context.reader)
+        await fixture.start_unconfigured(opened)
+        fixture.make_ready('idempotent')
+        context.response = await caller.read(context.reader)
         context.writer.close()
 
     context.run(start())
-    context.to_stop.append(setting.stop)
+    context.to_stop.append(fixture.stop)
 
 
 @behave.given('a settings file that {fault}')
--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -25,13 +25,13 @@
     'listed'
 )
 def step_send_different(context, count):
-    context.run(_send_different(context.setting, count))
+    context.run(_send_different(context.fixture, count))
 
 
 @behave.when('the instances that got requests are no longer listed')
 def step_unlisted(context):
     async def drop():
-        context.setting.list(gone=_arrived_at(context.setting))
+        context.fixture.apply_instances(gone=_arrived_at(context.fixture))
 
     context.run(drop())
 
@@ -39,7 +39,7 @@
 @behave.when('the instances that got requests are listed as leaving')
 def step_listed_leaving(context):
     async def leave():
-        context.setting.list(leaving=_arrived_at(context.setting))
+        context.fixture.apply_instances(leaving=_arrived_at(context.fixture))
 
     context.run(leave())
 
@@ -48,14 +48,14 @@
     'a caller sends a request, and meanwhile its instance leaves and ends'
 )
 def step_leave_and_end(context):
-    context.run(_leave_and_end(context.setting))
+    context.run(_leave_and_end(context.fixture))
 
 
 @behave.then(
     '{ends:d} ends of instances are detected, with {requests:d} requests'
 )
 def step_seen(context, ends, requests):
-    counters = context.setting.counters
+    counters = context.fixture.counters
     found = (
         counters.counter('instances_ended'),
         counters.counter('requests_under_ends'),
@@ -115,38 +115,40 @@
     return fingerprints.compute(account, _HOST, target, sent)
 
 
-def _arrived_at(setting):
+def _arrived_at(fixture):
     """Return the names of the instances that got requests."""
-    return tuple({one.instance for one in setting.script.arrivals})
+    return tuple({one.instance for one in fixture.script.arrivals})
 
 
-async def _send_different(setting, count):
-    setting.list(gone=tuple(one.name for one in setting.instances[1:]))
+async def _send_different(fixture, count):
+    fixture.apply_instances(
+        gone=tuple(one.name for one in fixture.instances[1:])
+    )
     async with asyncio.TaskGroup() as group:
         for number in range(count):
-            group.create_task(_ask(setting, f'/r/{number}'))
-            await _until_arrived(setting, number + 1)
+            group.create_task(_ask(fixture, f'/r/{number}'))
+            await _until_arrived(fixture, number + 1)
 
 
-async def _leave_and_end(setting):
-    asked = asyncio.create_task(_ask(setting, '/r/x'))
-    await _until_arrived(setting, 1)
-    [name] = _arrived_at(setting)
-    setting.list(leaving=(name,))
-    [instance] = [one for one in setting.instances if one.name == name]
+async def _leave_and_end(fixture):
+    asked = asyncio.create_task(_ask(fixture, '/r/x'))
+    await _until_arrived(fixture, 1)
+    [name] = _arrived_at(fixture)
+    fixture.apply_instances(leaving=(name,))
+    [instance] = [one for one in fixture.instances if one.name == name]
     instance.end()
     await asked
 
 
-async def _until_arrived(setting, count):
+async def _until_arrived(fixture, count):
     async with asyncio.timeout(2.0):
-        while len(setting.script.arrivals) < count:
+        while len(fixture.script.arrivals) < count:
             await asyncio.sleep(0.01)
 
 
-async def _ask(setting, path):
+async def _ask(fixture, path):
     reader, writer = await asyncio.open_connection(
-        *roles.split(setting.address)
+        *roles.split(fixture.address)
     )
     try:
         writer.write(caller.request(path=path))
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -58,27 +58,27 @@
         self.number = 0
 
     async def start(self, kind: str) -> None:
-        await self.begin()
-        self.allow(kind)
+        await self.start_unconfigured()
+        self.make_ready(kind)
 
-    async def begin(self, opened=None) -> None:
+    async def start_unconfigured(self, opened=None) -> None:
         """Start everything; the gateway knows nothing yet."""
         for instance in self.instances:
             await instance.start()
         await self.gateway.start(self.tree, opened)
 
-    def allow(self, kind: str) -> None:
+    def make_ready(self, kind: str) -> None:
         """Tell the gateway what it needs for serving."""
         self.configure(kind)
-        self.renew(_LEASE_MS)
-        self.list()
+        self.renew_lease(_LEASE_MS)
+        self.apply_instances()
 
     async def stop(self) -> None:
         await self.tree.stop()
         for instance in self.instances:
             await instance.stop()
 
-    def renew(self, lease_ms: int) -> None:
+    def renew_lease(self, lease_ms: int) -> None:
         now = asyncio.get_running_loop().time()
         self.gateway.state.renew_lease(now, lease_ms)
 
@@ -117,7 +117,7 @@
             )
         )
 
-    def list(
+    def apply_instances(
         self, leaving: tuple[str, ...] = (), gone: tuple[str, ...] = ()
     ) -> None:
         """Tell the gateway which instances there are."""
@@ -141,9 +141,9 @@
 
 @behave.given('a gateway for {kind} requests whose instances {steps}')
 def step_gateway(context, kind, steps):
-    context.setting = GatewayFixture([one.strip() for one in steps.split(';')])
-    context.run(context.setting.start(kind))
-    context.to_stop.append(context.setting.stop)
+    context.fixture = GatewayFixture([one.strip() for one in steps.split(';')])
+    context.run(context.fixture.start(kind))
+    context.to_stop.append(context.fixture.stop)
 
 
 @behave.given(
@@ -152,16 +152,16 @@
 )
 def step_gateway_without(context, kind, steps):
     named = [one.strip() for one in steps.split(';')]
-    context.setting = GatewayFixture(named, extra=0.0)
-    context.run(context.setting.start(kind))
-    context.to_stop.append(context.setting.stop)
+    context.fixture = GatewayFixture(named, extra=0.0)
+    context.run(context.fixture.start(kind))
+    context.to_stop.append(context.fixture.stop)
 
 
 @behave.given('a gateway that has just started')
 def step_fresh_gateway(context):
-    context.setting = GatewayFixture(['answer'])
-    context.run(context.setting.begin())
-    context.to_stop.append(context.setting.stop)
+    context.fixture = GatewayFixture(['answer'])
+    context.run(context.fixture.start_unconfigured())
+    context.to_stop.append(context.fixture.stop)
 
 
 @behave.when(
@@ -171,9 +171,9 @@
 def step_early(context, limit, later):
     async def send():
         loop = asyncio.get_running_loop()
-        loop.call_later(later / 1000, context.setting.allow, 'idempotent')
+        loop.call_later(later / 1000, context.fixture.make_ready, 'idempotent')
         began = loop.time()
-        context.got = await send_request(context.setting, limit_ms=limit)
+        context.response = await send_request(context.fixture, limit_ms=limit)
         context.took_s = loop.time() - began
         await asyncio.sleep(max(0.0, later / 1000 - context.took_s))
 
@@ -183,9 +183,9 @@
 @behave.when('it has a configuration and a lease, but no list of instances')
 def step_no_list(context):
     async def allow():
-        context.setting.configure('idempotent')
-        context.setting.renew(_LEASE_MS)
-        context.setting.gateway.apply_state()
+        context.fixture.configure('idempotent')
+        context.fixture.renew_lease(_LEASE_MS)
+        context.fixture.gateway.apply_state()
 
     context.run(allow())
 
@@ -193,108 +193,110 @@
 @behave.when('the list arrives')
 def step_list(context):
     async def tell():
-        context.setting.list()
+        context.fixture.apply_instances()
 
     context.run(tell())
 
 
 @behave.then('the gateway is not ready: {reason}')
 def step_not_ready(context, reason):
-    found = context.run(_not_ready(context.setting))
+    found = context.run(_not_ready(context.fixture))
     assert found == reason, found
 
 
 @behave.then('the gateway is ready')
 def step_is_ready(context):
-    assert context.run(_not_ready(context.setting)) == ''
+    assert context.run(_not_ready(context.fixture)) == ''
 
 
 @behave.when('a caller sends a request')
 def step_send(context):
-    context.got = context.run(send_request(context.setting))
+    context.response = context.run(send_request(context.fixture))
 
 
 @behave.when('a caller sends {count:d} requests on one connection')
 def step_send_many(context, count):
-    context.all_got = context.run(_ask_many(context.setting, count))
+    context.responses = context.run(_ask_many(context.fixture, count))
 
 
 @behave.when('a caller sends a request with the key "{key}"')
 def step_send_key(context, key):
-    context.got = context.run(send_request(context.setting, key=key))
+    context.response = context.run(send_request(context.fixture, key=key))
 
 
 @behave.when('a caller asks for "{path}" on host "{host}"')
 def step_send_path(context, path, host):
-    context.got = context.run(
-        send_request(context.setting, path=path, host=host)
+    context.response = context.run(
+        send_request(context.fixture, path=path, host=host)
     )
 
 
 @behave.when('a caller disconnects while its request runs')
 def step_leave(context):
-    context.run(_leave(context.setting))
+    context.run(_leave(context.fixture))
 
 
 @behave.when('its lease ends')
 def step_lease(context):
-    state = context.setting.gateway.state
+    state = context.fixture.gateway.state
     state._lease_until = float('-inf')
 
 
 @behave.when('the key is revoked')
 def step_revoke(context):
-    context.setting.configure('idempotent', keys=('another',))
+    context.fixture.configure('idempotent', keys=('another',))
 
 
 @behave.when('the instances {names} are leaving')
 def step_leaving(context, names):
     async def leave():
-        context.setting.list(tuple(names.split(' and ')))
+        context.fixture.apply_instances(tuple(names.split(' and ')))
 
     context.run(leave())
 
 
 @behave.then('it gets {status:d}, and {count:d} requests arrived')
 def step_got(context, status, count):
-    arrived = len(context.setting.script.arrivals)
-    found = (context.got.status, arrived)
-    assert found == (status, count), (found, context.got)
+    arrived = len(context.fixture.script.arrivals)
+    found = (context.response.status, arrived)
+    assert found == (status, count), (found, context.response)
 
 
 @behave.then('the answer is the complete answer of an instance')
 def step_whole(context):
-    assert context.got.whole and context.got.body == instances.BODY
-    assert context.got.headers[_NAMES.digest] == 'd1'
+    assert context.response.whole and context.response.body == instances.BODY
+    assert context.response.headers[_NAMES.digest] == 'd1'
 
 
 @behave.then("it contains nothing of an instance's answer")
 def step_own(context):
-    assert _NAMES.digest not in context.got.headers, context.got
-    assert instances.BODY not in context.got.body
+    assert _NAMES.digest not in context.response.headers, context.response
+    assert instances.BODY not in context.response.body
 
 
 @behave.then('its error has "ran" set to {said}')
 def step_says(context, said):
-    error = json.loads(context.got.body)['error']
+    error = json.loads(context.response.body)['error']
     assert str(error['ran']) == said, error
 
 
 @behave.then('it has a Retry-After')
 def step_retry_after(context):
-    assert float(context.got.headers['Retry-After']) > 0, context.got
+    assert float(context.response.headers['Retry-After']) > 0, context.response
 
 
 @behave.then('it is told to reconnect elsewhere at once')
 def step_elsewhere(context):
-    assert float(context.got.headers['Retry-After']) < 0.1, context.got
-    assert context.got.headers['Connection'] == 'close', context.got
+    assert float(context.response.headers['Retry-After']) < 0.1, (
+        context.response
+    )
+    assert context.response.headers['Connection'] == 'close', context.response
 
 
 @behave.then('its Retry-After is {first:d} to {last:d} ms')
 def step_back_in(context, first, last):
-    back_ms = float(context.got.headers['Retry-After']) * 1000
-    assert first <= back_ms <= last, context.got
+    back_ms = float(context.response.headers['Retry-After']) * 1000
+    assert first <= back_ms <= last, context.response
 
 
 @behave.then('it is answered within {most:d} ms')
@@ -304,27 +306,27 @@
 
 @behave.then('all get the complete answer of an instance')
 def step_all_whole(context):
-    for got in context.all_got:
+    for got in context.responses:
         assert (got.status, got.body) == (200, instances.BODY), got
 
 
 @behave.then('the caller has every event once, in order')
 def step_events(context):
-    lines = context.got.body.decode().splitlines()
+    lines = context.response.body.decode().splitlines()
     found = [line for line in lines if line.startswith('id:')]
     wanted = [f'id: {number}' for number in range(1, instances.EVENTS + 1)]
-    assert context.got.whole and found == wanted, context.got
+    assert context.response.whole and found == wanted, context.response
 
 
 @behave.then('the caller sees that the answer is incomplete')
 def step_not_whole(context):
-    assert not context.got.whole, context.got
+    assert not context.response.whole, context.response
 
 
 @behave.then('the instance sees the disconnect within half a second')
 def step_seen(context):
     async def wait():
-        arrivals = context.setting.script.arrivals
+        arrivals = context.fixture.script.arrivals
         async with asyncio.timeout(_SOON_S):
             await arrivals[0].left.wait()
 
@@ -333,7 +335,7 @@
 
 @behave.then('each arrival has the account and the instance, and no key')
 def step_arrivals(context):
-    for arrival in context.setting.script.arrivals:
+    for arrival in context.fixture.script.arrivals:
         assert arrival.headers[_NAMES.account] == 'district'
         named = arrival.headers[_NAMES.expected_instance]
         assert named == arrival.instance
@@ -344,7 +346,7 @@
 
 @behave.then('only {name} got requests')
 def step_only(context, name):
-    found = {one.instance for one in context.setting.script.arrivals}
+    found = {one.instance for one in context.fixture.script.arrivals}
     assert found == {name}, found
 
 
@@ -352,14 +354,14 @@
 
 
 async def send_request(
-    setting: GatewayFixture,
+    fixture: GatewayFixture,
     key: str = caller.KEY,
     path: str = '/r/x?a=1',
     host: str = caller.HOST,
     limit_ms: int = 5000,
 ) -> caller.Response:
     reader, writer = await asyncio.open_connection(
-        *roles.split(setting.address)
+        *roles.split(fixture.address)
     )
     try:
         writer.write(caller.request(key, path, host, limit_ms=limit_ms))
@@ -369,10 +371,10 @@
 
 
 async def _ask_many(
-    setting: GatewayFixture, count: int
+    fixture: GatewayFixture, count: int
 ) -> list[caller.Response]:
     reader, writer = await asyncio.open_connection(
-        *roles.split(setting.address)
+        *roles.split(fixture.address)
     )
     found = []
     for number in range(count):
@@ -384,21 +386,21 @@
     return found
 
 
-async def _leave(setting: GatewayFixture) -> None:
-    _, writer = await asyncio.open_connection(*roles.split(setting.address))
+async def _leave(fixture: GatewayFixture) -> None:
+    _, writer = await asyncio.open_connection(*roles.split(fixture.address))
     writer.write(caller.request(caller.KEY, '/r/x', caller.HOST))
     async with asyncio.timeout(_SOON_S):
-        while not setting.script.arrivals:
+        while not fixture.script.arrivals:
             await asyncio.sleep(0.01)
     writer.close()
 
 
-async def _not_ready(setting: GatewayFixture) -> str:
-    return setting.gateway.not_ready_reason
+async def _not_ready(fixture: GatewayFixture) -> str:
+    return fixture.gateway.not_ready_reason
 
 
 @behave.then('the instance that rejected a request got no more')
 def step_left_alone(context):
-    first, *others = context.setting.script.arrivals
+    first, *others = context.fixture.script.arrivals
     assert others
     assert first.instance not in {one.instance for one in others}
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -60,26 +60,26 @@
 @behave.given('a balancer with the instances {names}')
 def step_choice(context, names):
     async def make():
-        context.setting = Setting(names.split(', '))
-        context.setting.first = context.setting.choose().instance
+        context.fixture = Setting(names.split(', '))
+        context.fixture.first = context.fixture.choose().instance
 
     context.run(make())
 
 
 @behave.when('the first choice of a prompt answers it')
 def step_answers(context):
-    setting = context.setting
-    setting.balancer.record_success(
-        setting.first, choices.prompt_parts('subject')
+    fixture = context.fixture
+    fixture.balancer.record_success(
+        fixture.first, choices.prompt_parts('subject')
     )
 
 
 @behave.when('the first choice of a prompt leaves')
 def step_leaves(context):
     async def leave():
-        setting = context.setting
-        setting.listed[setting.first.id].leaving = True
-        setting.tell()
+        fixture = context.fixture
+        fixture.listed[fixture.first.id].leaving = True
+        fixture.tell()
 
     context.run(leave())
 
@@ -87,10 +87,10 @@
 @behave.when('the first choice of a prompt leaves, and d takes its place')
 def step_replaced(context):
     async def replace():
-        setting = context.setting
-        setting.listed[setting.first.id].leaving = True
-        setting.listed['d'] = pb.Instance(place=setting.first.place)
-        setting.tell()
+        fixture = context.fixture
+        fixture.listed[fixture.first.id].leaving = True
+        fixture.listed['d'] = pb.Instance(place=fixture.first.place)
+        fixture.tell()
 
     context.run(replace())
 
@@ -98,8 +98,8 @@
 @behave.when('it is gone')
 def step_gone(context):
     async def go():
-        del context.setting.listed[context.setting.first.id]
-        context.setting.tell()
+        del context.fixture.listed[context.fixture.first.id]
+        context.fixture.tell()
 
     context.run(go())
 
@@ -107,8 +107,8 @@
 @behave.when('it fails')
 def step_fails(context):
     async def fail():
-        setting = context.setting
-        setting.balancer.record_failure(setting.first, 'HP-3104')
+        fixture = context.fixture
+        fixture.balancer.record_failure(fixture.first, 'HP-3104')
 
     context.run(fail())
 
@@ -116,8 +116,8 @@
 @behave.when('the gateway restarts')
 def step_start_anew(context):
     async def start():
-        context.setting.balancer = choices.make_balancer('g-1', 'thu-duc', {})
-        context.setting.tell()
+        context.fixture.balancer = choices.make_balancer('g-1', 'thu-duc', {})
+        context.fixture.tell()
 
     context.run(start())
 
@@ -130,24 +130,24 @@
 @behave.when('the second choice of a prompt fails')
 def step_second_fails(context):
     async def fail():
-        setting = context.setting
-        setting.balancer.record_failure(setting.ranked(1), 'HP-3104')
+        fixture = context.fixture
+        fixture.balancer.record_failure(fixture.ranked(1), 'HP-3104')
 
     context.run(fail())
 
 
 @behave.when('the second choice of a prompt answers another prompt')
 def step_second_answers(context):
-    setting = context.setting
-    setting.balancer.record_success(
-        setting.ranked(1), choices.prompt_parts('another')
+    fixture = context.fixture
+    fixture.balancer.record_success(
+        fixture.ranked(1), choices.prompt_parts('another')
     )
 
 
 @behave.then('the next prompt of the subject goes there, and copies nothing')
 def step_there(context):
     choice = next_choice(context)
-    assert choice.instance == context.setting.first
+    assert choice.instance == context.fixture.first
     assert choice.source is None
 
 
@@ -157,7 +157,7 @@
 def step_another(context):
     choice = next_choice(context)
     named = {choice.instance.id, choice.source.id}
-    assert len(named) == 2 and context.setting.first.id not in named, named
+    assert len(named) == 2 and context.fixture.first.id not in named, named
 
 
 @behave.then(
@@ -166,9 +166,9 @@
 )
 def step_copies(context, name):
     choice = next_choice(context)
-    assert choice.instance.id != context.setting.first.id
+    assert choice.instance.id != context.fixture.first.id
     assert name == 'another' or choice.instance.id == name
-    assert choice.source.id == context.setting.first.id
+    assert choice.source.id == context.fixture.first.id
 
 
 @behave.then('the next prompt of the subject copies from its second choice')
@@ -184,15 +184,15 @@
 def check_source(context, rank):
     """Check that the next prompt goes to its first choice and copies."""
     choice = next_choice(context)
-    assert choice.instance.id == context.setting.ranked(0).id
-    assert choice.source.id == context.setting.ranked(rank).id
+    assert choice.instance.id == context.fixture.ranked(0).id
+    assert choice.source.id == context.fixture.ranked(rank).id
 
 
 def next_choice(context):
     """Return the choice for the next prompt of the subject."""
 
     async def choose():
-        return context.setting.choose()
+        return context.fixture.choose()
 
     return context.run(choose())
 
@@ -221,10 +221,10 @@
 )
 def step_again(context):
     async def check():
-        setting = context.setting
-        found = setting.choose()
-        assert found.instance.id == setting.first.id, found
+        fixture = context.fixture
+        found = fixture.choose()
+        assert found.instance.id == fixture.first.id, found
         assert found.source is not None
-        assert found.source.id == setting.ranked(1).id, found
+        assert found.source.id == fixture.ranked(1).id, found
 
     context.run(check())
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -39,11 +39,11 @@
     'a gateway with {count:d} instances and a retry budget of {extra:d}'
 )
 def step_gateway(context, count, extra):
-    context.setting = gateway_steps.GatewayFixture(
+    context.fixture = gateway_steps.GatewayFixture(
         ['answer'], extra=extra * _ALL_TO_ONE, count=count
     )
-    context.run(context.setting.start('idempotent'))
-    context.to_stop.append(context.setting.stop)
+    context.run(context.fixture.start('idempotent'))
+    context.to_stop.append(context.fixture.stop)
 
 
 @behave.given('the instances {names} rest for {text} s')
@@ -98,23 +98,23 @@
 
 @behave.then('{count:d} request has reached an instance')
 def step_reached(context, count):
-    arrivals = context.setting.script.arrivals
+    arrivals = context.fixture.script.arrivals
     assert len(arrivals) == count, arrivals
 
 
 @behave.when('a new list of instances and a new configuration arrive')
 def step_anew(context):
     async def tell():
-        context.setting.configure('idempotent')
-        context.setting.list()
+        context.fixture.configure('idempotent')
+        context.fixture.apply_instances()
 
     context.run(tell())
 
 
 @behave.then('all callers of the first {ms:d} ms were served')
 def step_first_served(context, ms):
-    began = context.all_got[0].at
-    early = [got for got in context.all_got if got.at < began + ms / 1000]
+    began = context.responses[0].at
+    early = [got for got in context.responses if got.at < began + ms / 1000]
     assert early and all(got.status == _SERVED for got in early), early
 
 
@@ -155,8 +155,8 @@
 
 @behave.then('all callers were served')
 def step_served(context):
-    refused = [got for got in context.all_got if got.status != _SERVED]
-    total = len(context.all_got)
+    refused = [got for got in context.responses if got.status != _SERVED]
+    total = len(context.responses)
     assert not refused, (len(refused), total, refused[:2])
 
 
@@ -167,7 +167,7 @@
 def step_told_when(context, most_ms):
     all_rest = [
         got
-        for got in context.all_got
+        for got in context.responses
         if got.status == _REFUSED and b'rest' in got.body
     ]
     assert all_rest
@@ -184,7 +184,7 @@
 def _first_end(context, at):
     """Return when the first rest ends of those that are known at a moment."""
     ends = {}
-    for one in context.setting.script.arrivals:
+    for one in context.fixture.script.arrivals:
         if _asks(one) and 0 < one.answered < at:
             until = one.answered + _rest_s(one)
             ends[one.instance] = max(until, ends.get(one.instance, 0.0))
@@ -202,18 +202,18 @@
     report = pb.Report()
 
     async def fill():
-        context.setting.gateway._fill_report(report)
+        context.fixture.gateway._fill_report(report)
 
     context.run(fill())
     assert sorted(report.resting) == wanted, report.resting
 
 
 def _names(context):
-    return [one.name for one in context.setting.instances]
+    return [one.name for one in context.fixture.instances]
 
 
 def _have_do(context, names, step):
-    context.setting.script.always |= dict.fromkeys(names, step)
+    context.fixture.script.always |= dict.fromkeys(names, step)
 
 
 def _rest_s(arrival):
@@ -235,7 +235,7 @@
     :param lasts: returns for how long what an arrival got holds, in seconds
     :param grace_s: the time until then that is not counted
     """
-    arrivals = context.setting.script.arrivals
+    arrivals = context.fixture.script.arrivals
     late = []
     for number, later in enumerate(arrivals):
         waits = [
@@ -252,7 +252,7 @@
 
 async def _wait(context, count, wait_s):
     """Send requests whose connections are late, and one before them."""
-    connections = context.setting.gateway._pool
+    connections = context.fixture.gateway._pool
     acquire = connections.acquire
 
     async def acquire_late(instance):
@@ -274,10 +274,10 @@
         for _ in range(per_s * seconds):
             tasks.append(group.create_task(_ask(context)))
             await asyncio.sleep(1 / per_s)
-    context.all_got = [task.result() for task in tasks]
+    context.responses = [task.result() for task in tasks]
 
 
 async def _ask(context):
     at = time.monotonic()
-    got = await gateway_steps.send_request(context.setting)
+    got = await gateway_steps.send_request(context.fixture)
     return Got(at, time.monotonic() - at, got.status, got.body)
--- a/features/steps/smuggling_steps.py
+++ b/features/steps/smuggling_steps.py
@@ -48,7 +48,7 @@
     :param ends: whether the caller ends the connection behind it
     """
     reader, writer = await asyncio.open_connection(
-        *roles.split(context.setting.address)
+        *roles.split(context.fixture.address)
     )
     writer.write(head() + rest)
     try:
@@ -99,17 +99,17 @@
 
 @behave.then('no request arrived, and the connection is closed or refused')
 def step_none_arrived(context):
-    assert not context.setting.script.arrivals, context.setting.script.arrivals
+    assert not context.fixture.script.arrivals, context.fixture.script.arrivals
     assert b' 200 ' not in context.back.split(b'\r\n')[0], context.back
 
 
 @behave.then('one request arrived, with that body')
 def step_one_arrived(context):
-    bodies = [one.body for one in context.setting.script.arrivals]
+    bodies = [one.body for one in context.fixture.script.arrivals]
     assert bodies == [context.body], bodies
 
 
 @behave.then('the forwarded request does not have it')
 def step_does_not_have(context):
-    (arrival,) = context.setting.script.arrivals
+    (arrival,) = context.fixture.script.arrivals
     assert 'X-Secret' not in arrival.headers, arrival.headers
