--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -89,7 +89,7 @@
 
 @behave.when('a new leader takes over what was written down')
 def step_new_leader(context):
-    noted = {_REQUEST: context.register.instances(_REQUEST)}
+    noted = {_REQUEST: context.register.ended_instances(_REQUEST)}
     context.now += _APART_S
     context.register = suspicion.EndRegister(noted, context.now)
 
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -1,21 +1,14 @@
-"""How many requests an instance gets while it is cold.
-
-An instance is cold for some seconds after its start, after its failure domain
-comes back, and at times without notice. Meanwhile it takes few requests in a
-second and ends under many more.
-
-The load this answers: a failure domain comes back together, a hot prefix has
-its place on a cold instance, and hundreds of gateways know each other's counts
-a quarter of a second late. Each sends less than three requests a second in
-all, so that no gateway sees by itself how much one instance gets: 24 reached
-one in a second where 19.4 were tolerated.
-
-So only a few gateways send to a cold instance: those that rendezvous hashing
-names for it, each at a small rate of its own. The sum holds without a word
-between them. All others take their next choice, as does one whose rate is
-used up. Half of what is tolerated is given out, since two gateways may see the
-members of the fleet differently while these change; more where all instances
-are cold and there is no next choice.
+"""Limit the request rate to instances that are cold.
+
+An instance is cold for some seconds after its start or after its failure
+domain returns; it then takes few requests per second and fails under many
+more. Gateways know each other's counts too late to keep a common limit, so the
+limit is divided without communication: rendezvous hashing selects a few
+gateways for each cold instance, and each of them sends at a small rate of its
+own. All others use their next choice.
+
+Only a part of the limit is given out, because gateways may see different sets
+of members while these change.
 """
 
 import collections
@@ -26,30 +19,28 @@
 
 from honeyport.policy import hashing
 
-# The window in which operators count, in seconds.
+# The window in which the rate limit is measured.
 _WINDOW_S = 1.0
-# Of what is tolerated in a window, what is given out: two sets of gateways
-# that overlap in none still keep to it.
-_SHARE = 0.5
-# The same where nothing but cold instances is left: of 223 requests a second
-# to 45 cold instances, 2.8 in 100 are refused then in place of 13.8 (replay of
-# 3 s, mean of three seeds, ``features/policy/cold.feature``).
-_SHARE_OF_LAST = 0.8
-# For how long gateways count that are listed no longer, in seconds. A new
-# leader has met few of them at first; if these alone counted, each of them
-# would be one of few, and others than before.
-_REMEMBERED_S = 5.0
+# Share of the limit that is given out: two disjoint sets of gateways together
+# stay within the limit.
+_USED_SHARE = 0.5
+# The same while all usable instances are cold, where refusals are the
+# alternative.
+_USED_SHARE_ALL_COLD = 0.8
+# How long gateways count after they were last listed. A new leader lists only
+# some of them at first, and each of these would get too large a share.
+_REMEMBER_GATEWAY_S = 5.0
 
 Names = collections.abc.Collection[str]
 
 
 @attrs.frozen(kw_only=True)
 class Tolerance:
-    """What an instance of one service takes while it is cold.
+    """The rate limit of a cold instance of one service.
 
-    :ivar cold_s: for how long it is cold after a start, in seconds
-    :ivar most: requests of all gateways within one second; infinite if
-        instances of the service do not turn cold
+    :ivar cold_s: how long it is cold after a start, in seconds
+    :ivar max_requests: requests of all gateways within one second; infinite
+        if instances of the service are never cold
     """
 
     cold_s: float = 0.0
@@ -59,12 +50,12 @@
 def tolerance(
     cold_s: float, rate: float, *, multiple: float, extra: float
 ) -> Tolerance:
-    """Return the tolerance of a service from what its operator states.
+    """Return the rate limit of a service from its settings.
 
-    :param cold_s: 0 if its instances do not turn cold
-    :param rate: requests a second that a cold instance is made for
-    :param multiple: of these, as operators tolerate it
-    :param extra: how many more in one second
+    :param cold_s: seconds after a start; 0 if its instances are never cold
+    :param rate: requests per second that a cold instance is designed for
+    :param multiple: tolerated multiple of the rate
+    :param extra: further tolerated requests within one second
     """
     if cold_s <= 0:
         return Tolerance()
@@ -72,18 +63,19 @@
 
 
 class ColdPeriods:
-    """Until when instances are cold: points in time, by instance."""
+    """The loop time until which each instance is cold."""
 
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
     def extend(self, instance: str, until: float, same_s: float = 0.0) -> bool:
-        """Take it that an instance is cold; return whether that is news.
+        """Extend the cold period of an instance; return whether it changed.
 
-        What was heard before is never shortened: it may come from who knew
-        more, and a spell ends by itself.
+        A period is never shortened, since it may come from a better source.
 
-        :param same_s: ends that are no further apart are the same one
+        :param until: loop time of the new end
+        :param same_s: a new end that is later by no more than this many
+            seconds is the same
         """
         if until <= self._until.get(instance, -math.inf) + same_s:
             return False
@@ -91,7 +83,7 @@
         return True
 
     def remaining_s(self, instance: str, now: float) -> float:
-        """Return for how much longer an instance is cold, in seconds."""
+        """Return the rest of an instance's cold period, in seconds."""
         return max(0.0, self._until.get(instance, now) - now)
 
     def is_cold(self, instance: str, now: float) -> bool:
@@ -99,91 +91,99 @@
         return self._until.get(instance, now) > now
 
     def drop_expired(self, now: float) -> None:
-        """Forget what is over."""
+        """Drop the periods that have ended."""
         for instance, until in list(self._until.items()):
             if until <= now:
                 del self._until[instance]
 
 
 class SendQuotas:
-    """This gateway's part of what cold instances get.
+    """This gateway's share of the rate limits of cold instances.
 
-    :param name: of this gateway, as the others know it
+    :param name: the name of this gateway in the lists of members
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._members: Names = ()
-        self._gone: dict[str, float] = {}  # since when they are not listed
-        self._known: Names = ()  # both
-        self._ranked: dict[str, list[str]] = {}
-        self._sent: dict[str, collections.deque[float]] = {}
+        self._unlisted_since: dict[str, float] = {}  # loop time
+        self._known: Names = ()  # members and recently unlisted ones
+        self._ranked_gateways: dict[str, list[str]] = {}  # by instance
+        self._sent_at: dict[str, collections.deque[float]] = {}
 
     def set_gateways(self, members: Names, now: float) -> None:
-        """Take the names of the gateways that callers are sent to."""
-        if members == self._members and not self._has_forgotten(now):
+        """Set the names of the gateways that share the limits.
+
+        :param now: as loop time, in seconds
+        """
+        if members == self._members and not self._drop_unlisted(now):
             return
         for name in self._members:
-            self._gone.setdefault(name, now)
+            self._unlisted_since.setdefault(name, now)
         for name in members:
-            self._gone.pop(name, None)
+            self._unlisted_since.pop(name, None)
         self._members = members
-        self._known = {*members, *self._gone}
-        self._ranked.clear()
+        self._known = {*members, *self._unlisted_since}
+        self._ranked_gateways.clear()
 
     def may_send(
-        self, instance: str, most: float, now: float, *, is_last: bool
+        self, instance: str, max_requests: float, now: float, *, is_last: bool
     ) -> bool:
         """Whether this gateway may send one more request to an instance.
 
-        :param most: what it tolerates of all gateways within one second
-        :param is_last: whether nothing but cold instances is left
+        :param max_requests: the instance's limit for all gateways within
+            one second
+        :param is_last: whether all usable instances are cold
         """
-        if math.isinf(most):
+        if math.isinf(max_requests):
             return True
-        given = int(most * (_SHARE_OF_LAST if is_last else _SHARE))
-        ranked = self._rank(instance, given)
+        used_limit = int(
+            max_requests * (_USED_SHARE_ALL_COLD if is_last else _USED_SHARE)
+        )
+        ranked = self._rank(instance, used_limit)
         if self._name not in ranked:
             return False
-        own, rest = divmod(given, len(ranked))
-        if ranked.index(self._name) < rest:
-            own += 1
-        return self._recent(instance, now) < own
+        own_limit, remainder = divmod(used_limit, len(ranked))
+        if ranked.index(self._name) < remainder:
+            own_limit += 1
+        return self._count_recent(instance, now) < own_limit
 
     def record_sent(self, instance: str, now: float) -> None:
         """Count a request that is sent to a cold instance."""
-        self._sent.setdefault(instance, collections.deque()).append(now)
+        self._sent_at.setdefault(instance, collections.deque()).append(now)
 
     def retain(self, present: collections.abc.Container[str]) -> None:
-        """Forget the instances that are gone."""
-        for kept in (self._sent, self._ranked):
-            for instance in [one for one in kept if one not in present]:
-                del kept[instance]
-
-    def _has_forgotten(self, now: float) -> bool:
-        """Forget who is gone for long; return whether any was."""
-        over = [
+        """Drop the instances that are not present."""
+        for by_instance in (self._sent_at, self._ranked_gateways):
+            for instance in [
+                known for known in by_instance if known not in present
+            ]:
+                del by_instance[instance]
+
+    def _drop_unlisted(self, now: float) -> bool:
+        """Drop gateways unlisted for long; return whether there were any."""
+        expired = [
             name
-            for name, since in self._gone.items()
-            if since < now - _REMEMBERED_S
+            for name, since in self._unlisted_since.items()
+            if since < now - _REMEMBER_GATEWAY_S
         ]
-        for name in over:
-            del self._gone[name]
-        return bool(over)
+        for name in expired:
+            del self._unlisted_since[name]
+        return bool(expired)
 
-    def _rank(self, instance: str, most: int) -> list[str]:
+    def _rank(self, instance: str, limit: int) -> list[str]:
         """Return the gateways that may send to an instance, in order."""
-        ranked = self._ranked.get(instance)
-        if ranked is None or len(ranked) < min(most, len(self._known)):
-            ranked = hashing.rank(instance, self._known, most)
-            self._ranked[instance] = ranked
-        return ranked[:most]
-
-    def _recent(self, instance: str, now: float) -> int:
-        """Return how many were sent to an instance within the window."""
-        sent = self._sent.get(instance)
-        if sent is None:
+        ranked = self._ranked_gateways.get(instance)
+        if ranked is None or len(ranked) < min(limit, len(self._known)):
+            ranked = hashing.rank(instance, self._known, limit)
+            self._ranked_gateways[instance] = ranked
+        return ranked[:limit]
+
+    def _count_recent(self, instance: str, now: float) -> int:
+        """Return the number of requests sent within the window."""
+        sent_at = self._sent_at.get(instance)
+        if sent_at is None:
             return 0
-        while sent and sent[0] <= now - _WINDOW_S:
-            sent.popleft()
-        return len(sent)
+        while sent_at and sent_at[0] <= now - _WINDOW_S:
+            sent_at.popleft()
+        return len(sent_at)
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -1,29 +1,24 @@
-"""Which instances are left alone for a while after failures.
+"""Pause instances after failures, with exponential backoff.
 
-The load this answers: an instance that cannot be reached takes a connect
-timeout (0.3 s) from each request that tries it, so that one failure keeps
-all others away for a time that doubles with each further one.
+Each request to an unreachable instance costs a connect timeout, so after one
+failure no other request tries it for a while.
 """
 
 import attrs
 
-# How long an instance gets nothing after its first failure, and at the most,
-# in seconds. The first is the time in which a process starts anew; the most
-# is what callers lose at worst after an instance is back.
+# Pause after the first failure, and the longest one.
 _FIRST_PAUSE_S = 0.5
-_LONGEST_PAUSE_S = 8.0
-# How long a gateway says of an instance that it could not connect to it, in
-# seconds, though it may try again: in a large fleet the next gateway that
-# tries does so a second later.
-_TOLD_S = 1.5
+_MAX_PAUSE_S = 8.0
+# How long an instance is reported as unreachable after a failed connection.
+_REPORT_UNREACHABLE_S = 1.5
 
 
 @attrs.frozen
 class Pause:
-    """What follows from a failure.
+    """The pause of an instance after a failure.
 
-    :ivar failures: in a row
-    :ivar pause_s: how long the instance is left alone, in seconds
+    :ivar failures: the number of consecutive failures
+    :ivar pause_s: its duration, in seconds
     """
 
     failures: int
@@ -33,34 +28,35 @@
 @attrs.define
 class _Record:
     failures: int = 0
-    avoided_until: float = 0.0
+    paused_until: float = 0.0
     was_reached: bool = True
     failed_at: float = 0.0
 
 
 class Health:
-    """The failures of instances that are not made good yet."""
+    """The consecutive failures of instances since their last answer."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def record_success(self, instance: str) -> None:
-        """Note that an instance answered."""
+        """Record that an instance answered, which resets its failures."""
         self._records.pop(instance, None)
 
     def record_failure(
         self, instance: str, now: float, *, was_reached: bool = True
     ) -> Pause:
-        """Note that an instance could not be used.
+        """Record a failure of an instance.
 
-        :param was_reached: whether it took the connection
+        :param now: as loop time, in seconds
+        :param was_reached: whether it accepted the connection
         """
         record = self._records.setdefault(instance, _Record())
-        pause_s = min(_FIRST_PAUSE_S * 2**record.failures, _LONGEST_PAUSE_S)
+        pause_s = min(_FIRST_PAUSE_S * 2**record.failures, _MAX_PAUSE_S)
         record.failures += 1
         record.was_reached = was_reached
         record.failed_at = now
-        record.avoided_until = now + pause_s
+        record.paused_until = now + pause_s
         return Pause(record.failures, pause_s)
 
     def is_healthy(self, instance: str) -> bool:
@@ -68,19 +64,20 @@
         return instance not in self._records
 
     def is_paused(self, instance: str, now: float) -> bool:
-        """Whether an instance gets nothing now if there are others."""
+        """Whether an instance is used only if there are no others."""
         record = self._records.get(instance)
-        return record is not None and record.avoided_until > now
+        return record is not None and record.paused_until > now
 
     def unreachable(self, now: float) -> list[str]:
-        """Return those that did not take a connection lately."""
+        """Return the instances that recently refused a connection."""
         return [
             instance
             for instance, record in self._records.items()
-            if not record.was_reached and record.failed_at + _TOLD_S > now
+            if not record.was_reached
+            and record.failed_at + _REPORT_UNREACHABLE_S > now
         ]
 
     def retain(self, present: set[str]) -> None:
-        """Forget the instances that are gone."""
-        for name in set(self._records) - present:
-            del self._records[name]
+        """Drop the instances that are not present."""
+        for instance in set(self._records) - present:
+            del self._records[instance]
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -1,22 +1,15 @@
-"""Which instances all gateways leave alone, by what some could not reach.
+"""Exclude instances for all gateways by what some gateways report.
 
-The load this answers: a failure domain of hundreds of instances goes dark. A
-gateway that finds out by itself pays a connect timeout (0.3 s) for each of
-them, and sends a few requests a second: before 1,000 dark instances a third of
-all requests are late for as long as the domain is away.
+Without this, each gateway pays a connect timeout for every instance of a lost
+failure domain, and a retry for every instance that requested a backoff.
 
-An instance that asks one gateway for rest turns the others away as well, each
-of which would pay with a repeat of its allowance; so all leave it alone while
-gateways tell that it rests.
+A single gateway may be cut off itself or be misled, so an instance is excluded
+only if gateways of two failure domains report it, or of all domains that have
+gateways. If all gateways of a domain are silent as well, a sample of
+unreachable instances excludes the whole domain.
 
-A gateway may be the one that is cut off, or be told of a rest by mistake. So
-an instance is left alone by all only if gateways of two failure domains say
-so, or of all that have any. And where all gateways of a domain fell silent as
-well, two of its instances stand for all; some more where a new leader has
-never heard any.
-
-While all leave an instance alone that is out of reach, nobody finds out that
-it is back; so it is tried again after a pause that doubles.
+An excluded instance is tried again after a pause that doubles, because no
+request would otherwise detect its return.
 """
 
 import collections
@@ -24,35 +17,31 @@
 
 import attrs
 
-# Failure domains whose gateways have to agree.
-_AGREEING = 2
-# How long an instance is left alone at first and at the most, in seconds. The
-# first is longer than gateways tell of one failure (1.5 s), so that it is held
-# again for new ones only; the most is what an instance waits at worst for its
-# first request.
-_FIRST_HOLD_S = 2.0
-_LONGEST_HOLD_S = 8.0
-# So long after it was let go an instance that is out of reach again counts as
-# one that has been so all along, in seconds.
-_AGAIN_S = 5.0
-# Instances of a silent domain that have to be out of reach: two crashes beside
-# a kill of all its gateways are less likely than its loss.
-_SAMPLE = 2
-# The same of a domain of which no gateway was ever heard, and the least share
-# of all its instances: it may have none.
-_SAMPLE_UNHEARD = 5
-_SHARE_UNHEARD = 0.03
+_AGREEING_DOMAINS_NEEDED = 2
+# The first and the longest exclusion. The first is longer than gateways report
+# one failure, so that only a new failure renews it.
+_FIRST_EXCLUSION_S = 2.0
+_MAX_EXCLUSION_S = 8.0
+# An instance that is reported again within this time after an exclusion counts
+# as having been unreachable all along.
+_SAME_OUTAGE_S = 5.0
+# Unreachable instances that show the loss of a domain with silent gateways.
+_LOSS_MIN_INSTANCES = 2
+# The same, and the minimum share of its instances, for a domain that may never
+# have had a gateway.
+_LOSS_MIN_INSTANCES_NO_GATEWAY = 5
+_LOSS_MIN_SHARE_NO_GATEWAY = 0.03
 
 Names = collections.abc.Set[str]
 
 
 @attrs.frozen
 class GatewayReport:
-    """What one gateway says.
+    """The instances that one gateway reports.
 
-    :ivar domain: its failure domain
-    :ivar down: the instances that it could not connect to lately
-    :ivar resting: the instances that asked it for rest which is not over
+    :ivar domain: the failure domain of the gateway
+    :ivar down: the instances that it recently failed to connect to
+    :ivar resting: the instances that requested a backoff from it
     """
 
     domain: str
@@ -61,91 +50,100 @@
 
 
 @attrs.define
-class _Hold:
+class _Exclusion:
     until: float
-    length_s: float
+    duration_s: float
 
 
-class _Holds:
-    """Names that are held for a while, and longer each time."""
+class _BackoffSet:
+    """Names that are excluded for a time that doubles with each repetition."""
 
     def __init__(self) -> None:
-        self._holds: dict[str, _Hold] = {}
+        self._exclusions: dict[str, _Exclusion] = {}
 
-    def held(self, now: float) -> set[str]:
-        """Return the names that are held now."""
-        over = [
+    def active(self, now: float) -> set[str]:
+        """Return the names that are excluded now."""
+        expired = [
             name
-            for name, hold in self._holds.items()
-            if hold.until < now - _AGAIN_S
+            for name, exclusion in self._exclusions.items()
+            if exclusion.until < now - _SAME_OUTAGE_S
         ]
-        for name in over:
-            del self._holds[name]
-        return {name for name, hold in self._holds.items() if hold.until > now}
-
-    def hold(self, name: str, now: float) -> None:
-        """Hold a name, unless it is held already."""
-        hold = self._holds.get(name)
-        if hold is None:
-            length_s = _FIRST_HOLD_S
-        elif hold.until > now:
+        for name in expired:
+            del self._exclusions[name]
+        return {
+            name
+            for name, exclusion in self._exclusions.items()
+            if exclusion.until > now
+        }
+
+    def add(self, name: str, now: float) -> None:
+        """Exclude a name, unless it is excluded already."""
+        exclusion = self._exclusions.get(name)
+        if exclusion is None:
+            duration_s = _FIRST_EXCLUSION_S
+        elif exclusion.until > now:
             return
         else:
-            length_s = min(2 * hold.length_s, _LONGEST_HOLD_S)
-        self._holds[name] = _Hold(now + length_s, length_s)
+            duration_s = min(2 * exclusion.duration_s, _MAX_EXCLUSION_S)
+        self._exclusions[name] = _Exclusion(now + duration_s, duration_s)
 
 
 class Exclusions:
-    """The instances that all gateways leave alone for a while."""
+    """The instances and failure domains that are excluded at present."""
 
     def __init__(self) -> None:
-        self._instances = _Holds()
-        self._domains = _Holds()
+        self._instances = _BackoffSet()
+        self._domains = _BackoffSet()
 
     def update(
         self,
-        words: collections.abc.Iterable[GatewayReport],
+        reports: collections.abc.Iterable[GatewayReport],
         domains: collections.abc.Mapping[str, str],
-        silent: Names,
+        silent_domains: Names,
         now: float,
     ) -> frozenset[str]:
-        """Return the instances that all gateways leave alone now.
+        """Return the instances to which no gateway is to send requests.
 
-        :param words: of all gateways that are heard
+        :param reports: of all gateways that currently report
         :param domains: the failure domain of each instance
-        :param silent: the failure domains that had gateways, and now have
-            none that is heard
+        :param silent_domains: the failure domains that had gateways, none of
+            which currently reports
+        :param now: as loop time, in seconds
         """
-        words = list(words)
-        heard = {word.domain for word in words}
-        for instance in _agreed(words, lambda word: word.down):
-            self._instances.hold(instance, now)
-        held = self._instances.held(now)
-        resting = _agreed(words, lambda word: word.resting)
-        for domain in _lost(held, domains, silent, heard):
-            self._domains.hold(domain, now)
-        lost = self._domains.held(now) - heard
-        if not lost:
-            return frozenset(held | resting)
-        dark = {name for name, domain in domains.items() if domain in lost}
-        return frozenset(held | resting | dark)
+        reports = list(reports)
+        reporting_domains = {report.domain for report in reports}
+        for instance in _agreed(reports, lambda report: report.down):
+            self._instances.add(instance, now)
+        unreachable = self._instances.active(now)
+        resting = _agreed(reports, lambda report: report.resting)
+        for domain in _lost_domains(
+            unreachable, domains, silent_domains, reporting_domains
+        ):
+            self._domains.add(domain, now)
+        lost_domains = self._domains.active(now) - reporting_domains
+        if not lost_domains:
+            return frozenset(unreachable | resting)
+        in_lost_domains = {
+            name for name, domain in domains.items() if domain in lost_domains
+        }
+        return frozenset(unreachable | resting | in_lost_domains)
 
 
 def _agreed(
-    words: collections.abc.Iterable[GatewayReport],
-    named: collections.abc.Callable[[GatewayReport], Names],
+    reports: collections.abc.Iterable[GatewayReport],
+    instances_of: collections.abc.Callable[[GatewayReport], Names],
 ) -> set[str]:
-    """Return what gateways of enough failure domains name.
+    """Return the instances that gateways of enough domains report.
 
-    :param named: what one of them names
+    :param instances_of: returns the instances of one report that count
     """
-    heard = set()
+    reporting_domains = set()
     by_instance: dict[str, set[str]] = {}
-    for word in words:
-        heard.add(word.domain)
-        for instance in named(word):
-            by_instance.setdefault(instance, set()).add(word.domain)
-    needed = min(_AGREEING, len(heard))
+    for report in reports:
+        reporting_domains.add(report.domain)
+        for instance in instances_of(report):
+            by_instance.setdefault(instance, set()).add(report.domain)
+    needed = min(_AGREEING_DOMAINS_NEEDED, len(reporting_domains))
     return {
         instance
         for instance, agreeing in by_instance.items()
@@ -153,27 +151,37 @@
     }
 
 
-def _lost(
-    held: set[str],
+def _lost_domains(
+    unreachable: set[str],
     domains: collections.abc.Mapping[str, str],
-    silent: Names,
-    heard: Names,
+    silent_domains: Names,
+    reporting_domains: Names,
 ) -> set[str]:
     """Return the failure domains that are lost as a whole."""
-    counts = collections.Counter(domains[one] for one in held & domains.keys())
-    if not counts.keys() - heard:
+    unreachable_counts = collections.Counter(
+        domains[instance] for instance in unreachable & domains.keys()
+    )
+    if not unreachable_counts.keys() - reporting_domains:
         return set()
     sizes = collections.Counter(domains.values())
     return {
         domain
-        for domain, count in counts.items()
-        if domain not in heard
-        and count >= _needed(sizes[domain], is_unheard=domain not in silent)
+        for domain, count in unreachable_counts.items()
+        if domain not in reporting_domains
+        and count
+        >= _min_unreachable(
+            sizes[domain], had_no_gateway=domain not in silent_domains
+        )
     }
 
 
-def _needed(size: int, *, is_unheard: bool) -> float:
-    """Return how many instances of a domain stand for all of them."""
-    if not is_unheard:
-        return _SAMPLE
-    return max(_SAMPLE_UNHEARD, _SHARE_UNHEARD * size)
+def _min_unreachable(size: int, *, had_no_gateway: bool) -> float:
+    """Return how many unreachable instances show the loss of a domain.
+
+    :param size: the number of its instances
+    """
+    if not had_no_gateway:
+        return _LOSS_MIN_INSTANCES
+    return max(
+        _LOSS_MIN_INSTANCES_NO_GATEWAY, _LOSS_MIN_SHARE_NO_GATEWAY * size
+    )
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -1,14 +1,10 @@
-"""How many offers beyond the first all gateways together may make.
+"""Limit the retries of all gateways together without coordination.
 
-Each gateway keeps its own part of the allowance and asks nobody: of the fixed
-part its share by the number of gateways, of the part that grows with the
-requests what its own requests earn. So the sum holds in a partition, too,
-where each side sees fewer gateways only after those beyond are gone.
-
-The load this answers: an instance crashes and all that ran there breaks at
-one moment. Of 52 streams that broke so at 10 gateways, 33 were not offered
-again while each gateway could save up two offers and no more; so what counts
-is all that was requested within the operators' window, not a trickle.
+A retry is an attempt of a request at a further instance after the first one.
+Each gateway enforces its own part of the fleet's allowance: of the fixed
+part, its share by the number of gateways; of the part that grows with the
+requests, what its own requests earn. The sum therefore also holds in a network
+partition, where each side counts fewer gateways.
 """
 
 import collections
@@ -16,25 +12,24 @@
 
 import attrs
 
-# Parts of the allowance that are used. A gateway that starts anew has
-# forgotten what it repeated, and may do so twice within a window: that is
-# three times the fixed part, and at the worst twice what the requests of one
-# window earn.
+# Shares of the allowance that are used. A gateway loses its counts when it
+# restarts, which may happen twice within a window: that spends the fixed part
+# three times, and what the requests of a window earn twice.
 _RATIO_SHARE = 0.5
 _EXTRA_SHARE = 1 / 3
-# While a gateway does not know how many there are.
-_MANY_GATEWAYS = 64
-# Steps of a window; what is counted is exact to one of them.
-_STEPS = 20
+# Assumed number of gateways while it is unknown.
+_UNKNOWN_GATEWAYS = 64
+# Buckets of a sliding window; its counts are accurate to one bucket.
+_STEPS_PER_WINDOW = 20
 
 
 @attrs.frozen(kw_only=True)
 class Allowance:
-    """What a service takes beyond the first offer of each request.
+    """The retries that a service allows to all gateways together.
 
-    :ivar ratio: of the requests
-    :ivar extra: on top, within the window that the operators count in
-    :ivar window_s: the length of that window, in seconds
+    :ivar ratio: retries for each request
+    :ivar extra: further retries within a window
+    :ivar window_s: the length of the window, in seconds
     """
 
     ratio: float = 0.2
@@ -43,20 +38,20 @@
 
 
 class _Window:
-    """Counts what happened in the last seconds.
+    """A sliding-window counter.
 
-    :param length_s: of the window
-    :param kept: steps that are counted, the present one included
+    :param length_s: the length of the window, in seconds
+    :param counted_steps: steps that count, including the current one
     """
 
-    def __init__(self, length_s: float, kept: int) -> None:
-        self._step_s = length_s / _STEPS
-        self._kept = kept
+    def __init__(self, length_s: float, counted_steps: int) -> None:
+        self._step_s = length_s / _STEPS_PER_WINDOW
+        self._counted_steps = counted_steps
         self._steps: collections.deque[tuple[int, int]] = collections.deque()
         self._total = 0
 
     def add(self, now: float) -> None:
-        """Count one."""
+        """Count one event."""
         step = int(now / self._step_s)
         count = 0
         if self._steps and self._steps[-1][0] == step:
@@ -65,29 +60,29 @@
         self._total += 1
 
     def total(self, now: float) -> int:
-        """Return how many there were."""
-        oldest = int(now / self._step_s) - self._kept + 1
-        while self._steps and self._steps[0][0] < oldest:
+        """Return the number of events within the window."""
+        oldest_step = int(now / self._step_s) - self._counted_steps + 1
+        while self._steps and self._steps[0][0] < oldest_step:
             self._total -= self._steps.popleft()[1]
         return self._total
 
 
-class _Ledger:
-    """Requests and repeated offers of one service.
+class _ServiceCounts:
+    """The requests and retries of one service within the window.
 
-    Of the requests at most a window counts, of the repeated offers a step
-    more than that: so the counts err to one side.
+    Retries count for one step longer than requests, so that rounding never
+    allows too many retries.
     """
 
     def __init__(self, window_s: float) -> None:
-        self.requests = _Window(window_s, _STEPS)
-        self.repeats = _Window(window_s, _STEPS + 1)
+        self.requests = _Window(window_s, _STEPS_PER_WINDOW)
+        self.retries = _Window(window_s, _STEPS_PER_WINDOW + 1)
 
 
 class RetryBudgets:
-    """This gateway's part of the allowance, for each service.
+    """This gateway's share of the allowance, for each service.
 
-    :param gateways: returns how many gateways take requests; 0 if unknown
+    :param gateways: returns the number of serving gateways; 0 if unknown
     """
 
     def __init__(
@@ -97,29 +92,35 @@
     ) -> None:
         self._allowance = allowance
         self._gateways = gateways
-        self._ledgers: dict[str, _Ledger] = {}
+        self._by_service: dict[str, _ServiceCounts] = {}
 
     def record_request(self, service: str, now: float) -> None:
-        """Count a request."""
-        ledger = self._of(service)
-        ledger.requests.total(now)  # drops what is too old to count
-        ledger.requests.add(now)
+        """Count a request.
+
+        :param now: as loop time, in seconds
+        """
+        counts = self._counts(service)
+        counts.requests.total(now)  # drops expired steps
+        counts.requests.add(now)
 
     def try_spend(self, service: str, now: float) -> bool:
-        """Take one more offer out; return whether there was one."""
-        ledger = self._of(service)
-        gateways = self._gateways() or _MANY_GATEWAYS
-        earned = self._allowance.ratio * _RATIO_SHARE
-        most = earned * ledger.requests.total(now)
-        most += self._allowance.extra * _EXTRA_SHARE / gateways
-        if ledger.repeats.total(now) + 1 > most:
+        """Count a retry if it is within the budget; return whether it is.
+
+        :param now: as loop time, in seconds
+        """
+        counts = self._counts(service)
+        gateways = self._gateways() or _UNKNOWN_GATEWAYS
+        ratio = self._allowance.ratio * _RATIO_SHARE
+        max_retries = ratio * counts.requests.total(now)
+        max_retries += self._allowance.extra * _EXTRA_SHARE / gateways
+        if counts.retries.total(now) + 1 > max_retries:
             return False
-        ledger.repeats.add(now)
+        counts.retries.add(now)
         return True
 
-    def _of(self, service: str) -> _Ledger:
-        ledger = self._ledgers.get(service)
-        if ledger is None:
-            ledger = _Ledger(self._allowance.window_s)
-            self._ledgers[service] = ledger
-        return ledger
+    def _counts(self, service: str) -> _ServiceCounts:
+        counts = self._by_service.get(service)
+        if counts is None:
+            counts = _ServiceCounts(self._allowance.window_s)
+            self._by_service[service] = counts
+        return counts
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -1,30 +1,28 @@
-"""Which instances have asked this gateway for rest, and until when."""
+"""Backoffs that instances requested with ``Retry-After``."""
 
 import random
 
 import attrs
 
-# The longest rest that is granted, in seconds: a broken instance that asks
-# for days is tried again after it.
+# The longest backoff that is granted: a broken instance may request days.
 MAX_BACKOFF_S = 60.0
-# How much later than it may, at most, a gateway comes back: as a share of the
-# rest, and in seconds. Many gateways got the same rest at one moment.
-_SPREAD_SHARE = 0.2
-_SPREAD_S = 1.0
-# After its rest an instance gets one request at a time from a gateway, then
-# twice as many with each answer, up to so many: all that was kept from it
-# would turn it away again.
-_FIRST_RUNNING = 1
-_FULL_RUNNING = 16
+# Maximum random delay after a backoff, as a share of it and in seconds, since
+# many gateways are told to back off at the same moment.
+_JITTER_SHARE = 0.2
+_MAX_JITTER_S = 1.0
+# Slow start after a backoff: the concurrent requests from this gateway, which
+# double with each answer until the limit is lifted.
+_SLOW_START_REQUESTS = 1
+_SLOW_START_MAX_REQUESTS = 16
 
 
 @attrs.frozen
 class Backoff:
-    """A rest that an instance asked for.
+    """A backoff that an instance requested.
 
-    :ivar asked_s: how long it is to last, in seconds, as the instance says
-    :ivar granted_s: how long it lasts
-    :ivar is_new: whether the instance did not rest already
+    :ivar requested_s: the requested duration, in seconds
+    :ivar granted_s: the granted duration, in seconds
+    :ivar is_new: whether no earlier backoff was in effect
     """
 
     requested_s: float
@@ -34,83 +32,95 @@
 
 @attrs.define
 class _Record:
-    """What is known of one rest.
+    """A backoff that is in effect, or followed by its slow start.
 
-    :ivar running: the most requests that may run there at once after it
+    :ivar started_at: as loop time
+    :ivar until: as loop time
+    :ivar max_running: the limit of concurrent requests after it
     """
 
-    began: float
+    started_at: float
     until: float
-    running: int = _FIRST_RUNNING
+    max_running: int = _SLOW_START_REQUESTS
 
 
 class Backoffs:
-    """The rests that are not over yet, or from which instances come back.
+    """The backoffs and slow starts of all instances.
 
-    A rest ends with its time and with nothing else: an answer of a request
-    that was sent before says nothing about it, and neither does a shorter
-    rest that is asked for later.
+    Only time ends a backoff: answers to requests that were sent before it do
+    not, and a shorter one that is requested later does not replace it.
     """
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def __bool__(self) -> bool:
-        """Whether any instance rests, or comes back from a rest."""
+        """Whether any instance is in backoff or in slow start."""
         return bool(self._records)
 
-    def request(self, instance: str, asked_s: float, now: float) -> Backoff:
-        """Note that an instance asks for rest."""
-        granted_s = min(asked_s, MAX_BACKOFF_S)
-        spread_s = min(granted_s * _SPREAD_SHARE, _SPREAD_S)
-        until = now + granted_s + random.uniform(0.0, spread_s)
+    def request(
+        self, instance: str, requested_s: float, now: float
+    ) -> Backoff:
+        """Record that an instance requested a backoff.
+
+        :param requested_s: its duration, in seconds
+        :param now: as loop time, in seconds
+        """
+        granted_s = min(requested_s, MAX_BACKOFF_S)
+        max_jitter_s = min(granted_s * _JITTER_SHARE, _MAX_JITTER_S)
+        until = now + granted_s + random.uniform(0.0, max_jitter_s)
         record = self._records.get(instance)
         is_new = record is None or record.until <= now
         if record is None or is_new:
             self._records[instance] = _Record(now, until)
         else:
             record.until = max(record.until, until)
-        return Backoff(asked_s, granted_s, is_new)
+        return Backoff(requested_s, granted_s, is_new)
 
     def record_answer(self, instance: str, now: float) -> None:
-        """Note that an instance took a request and answered it."""
+        """Record an answer, which raises the limit of the slow start."""
         record = self._records.get(instance)
         if record is None or record.until > now:
             return
-        record.running *= 2
-        if record.running > _FULL_RUNNING:
+        record.max_running *= 2
+        if record.max_running > _SLOW_START_MAX_REQUESTS:
             del self._records[instance]
 
     def may_send(self, instance: str, running: int, now: float) -> bool:
-        """Whether an instance may get one more request, others being there.
+        """Whether this gateway may send one more request to an instance.
 
         :param running: the requests of this gateway that run there
         """
         record = self._records.get(instance)
         if record is None:
             return True
-        return record.until <= now and running < record.running
+        return record.until <= now and running < record.max_running
 
     def remaining_s(self, instance: str, now: float) -> float:
-        """Return how much longer an instance rests; 0 if it does not."""
+        """Return the rest of a backoff, in seconds; 0 if there is none."""
         record = self._records.get(instance)
         return 0.0 if record is None else max(0.0, record.until - now)
 
     def elapsed_s(self, instance: str, at: float) -> float | None:
-        """Return for how long an instance had rested at a moment.
+        """Return how long a backoff had lasted at a time.
 
-        :returns: seconds, or ``None`` if it did not rest then
+        :param at: as loop time
+        :returns: seconds, or ``None`` if none was in effect
         """
         record = self._records.get(instance)
-        if record is None or not record.began < at < record.until:
+        if record is None or not record.started_at < at < record.until:
             return None
-        return at - record.began
+        return at - record.started_at
 
     def active(self, now: float) -> list[str]:
-        """Return the instances that rest."""
-        return [name for name, one in self._records.items() if one.until > now]
+        """Return the ids of the instances that are in backoff."""
+        return [
+            instance
+            for instance, record in self._records.items()
+            if record.until > now
+        ]
 
     def retain(self, present: set[str]) -> None:
-        """Forget the instances that are gone."""
-        for name in self._records.keys() - present:
-            del self._records[name]
+        """Drop the instances that are not present."""
+        for instance in self._records.keys() - present:
+            del self._records[instance]
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -1,63 +1,56 @@
-"""Which requests may be why instances end, and what becomes of them.
-
-The load this answers: a request that ends each instance that runs it comes
-again and again, at any gateway. Every end costs seconds of an instance and
-all that ran there: some 10 to 50 other requests, which are under the end just
-as well. So an end is no proof against any of them; several are, as long as
-the request never ran to its end:
-
-- after one end a request is sent as any other;
-- after two it runs one at a time in the whole fleet, so that a third end is
-  known before a fourth can come;
-- after three it is refused everywhere. It may be an innocent one still, so
-  that it is tried again after a while: three times at the most, in pauses
-  that grow. Whoever serves it to its end clears it.
-
-The leader decides; the gateways tell what they saw.
+"""Detect requests that crash instances, and restrict them.
+
+When an instance ends, each request that ran there may be the cause, but most
+are not. The number of instances that ended under a request decides, as long
+as the request was never answered:
+
+- after one end it is sent as any other request;
+- after two it needs a permit, which one gateway at a time holds, so that the
+  next end is known before the request is sent again;
+- after three it is barred, that is, refused by all gateways. It may still be
+  harmless, so it is tried again up to three times, after growing pauses.
+
+A complete answer clears a request. The leader decides from the reports of all
+gateways.
 """
 
 import collections.abc
 
 import attrs
 
-# Ends under a request from which on it runs one at a time.
+# Ends under a request from which on it needs a permit.
 PERMIT_MIN_ENDS = 2
-# Ends under a request from which on it is refused. What operators tolerate.
+# Ends under a request from which on it is barred.
 BAR_MIN_ENDS = 3
-# From its latest end until a refused request is tried once more, in seconds:
-# one instance lost in a minute, in ten, in an hour and three quarters, and
-# none after that until an operator clears it.
-_PAUSES_S = (60.0, 600.0, 6000.0)
-# An end is seen by several gateways within this, in seconds, lost packets
-# included. No instance is back sooner.
-_SAME_END_S = 1.0
-# How many requests are remembered. One that ends instances takes 50 others
-# with it each time, so that 80 ends fit; those under several ends go last.
-_MOST = 4096
-# How many of those under several ends: these go to the disks and to all
-# gateways, 20 bytes each.
-_MOST_WATCHED = 512
-# A good answer clears a request if it came no longer than this before the
-# first end, in seconds. A request that many send at once is under several ends
-# when several instances end together, and would be refused for it. Longer
-# ago, instances may have had another version.
-_SERVED_BEFORE_S = 30.0
-# When a request may come back that waits for another copy, in seconds: about
-# the time that the copy takes.
-_BUSY_S = 0.5
-
-Alive = collections.abc.Callable[[str], bool]
+# Pauses after the latest end before a barred request is tried again. After
+# the last one only an operator can clear it.
+_BAR_PAUSES_S = (60.0, 600.0, 6000.0)
+# Reports of one instance's end within this time are about the same end; no
+# instance restarts faster.
+_SAME_END_MAX_S = 1.0
+# Requests that are remembered; those that need no permit are dropped first.
+_MAX_RECORDS = 4096
+# Suspects that are stored and sent to all gateways, 20 bytes each.
+_MAX_SUSPECTS = 512
+# An answer clears a request if it came at most this long before the first
+# end: a popular request can be under several ends by coincidence. An older
+# answer may come from another version of the instances.
+_CLEARED_BY_ANSWER_BEFORE_S = 30.0
+# Retry delay while another gateway holds the permit.
+_PERMIT_HELD_RETRY_S = 0.5
+
+IsActive = collections.abc.Callable[[str], bool]
 
 
 @attrs.frozen(kw_only=True)
 class Suspect:
-    """A request that gateways are told of.
+    """A request that gateways must not send without a permit.
 
     :ivar request: its fingerprint
     :ivar ends: how many instances ended under it
-    :ivar since: when the first one did, as loop time
-    :ivar until: loop time until which it is refused; minus infinity if it
-        may run, infinity if only an operator may clear it
+    :ivar first_end_at: loop time of the first end
+    :ivar barred_until: loop time until which it is refused; minus infinity
+        if it may run, infinity if only an operator can clear it
     """
 
     request: str
@@ -66,17 +59,19 @@
     barred_until: float
 
     def is_barred(self, now: float) -> bool:
-        """Whether the request is refused now."""
+        """Whether the request is refused at this time."""
         return self.barred_until > now
 
 
 @attrs.frozen(kw_only=True)
 class PermitDecision:
-    """Whether a request may be sent now.
+    """The answer to a request for a permit.
 
-    :ivar back_s: if not, when it may come back, in seconds; ``None`` if
-        nobody knows
-    :ivar barred: whether too many instances ended under it
+    :ivar granted: whether the request may be sent now
+    :ivar retry_after_s: the retry delay if not, in seconds; ``None`` if
+        unknown
+    :ivar barred: whether it is refused because too many instances ended
+        under it
     """
 
     granted: bool
@@ -86,132 +81,140 @@
 
 @attrs.define
 class _Record:
-    """One request: its ends, by instance and time, and who may run it."""
+    """The ends under one request and the holder of its permit.
+
+    :ivar ends: instance ids and loop times
+    :ivar holder: the gateway that may send it, or ``''``
+    """
 
     ends: list[tuple[str, float]] = attrs.field(factory=list)
     holder: str = ''
 
     @property
-    def since(self) -> float:
+    def first_end_at(self) -> float:
         return min(at for _, at in self.ends)
 
     @property
-    def latest(self) -> float:
+    def latest_end_at(self) -> float:
         return max(at for _, at in self.ends)
 
     @property
-    def until(self) -> float:
-        """When it may be tried again; in the past if it never was barred."""
-        trials = len(self.ends) - BAR_MIN_ENDS
-        if trials < 0:
+    def barred_until(self) -> float:
+        """Loop time until which it is barred; minus infinity if it is not."""
+        bar_index = len(self.ends) - BAR_MIN_ENDS
+        if bar_index < 0:
             return float('-inf')
-        if trials >= len(_PAUSES_S):
+        if bar_index >= len(_BAR_PAUSES_S):
             return float('inf')
-        return self.latest + _PAUSES_S[trials]
+        return self.latest_end_at + _BAR_PAUSES_S[bar_index]
 
-    def has(self, instance: str, at: float, known_until: float) -> bool:
+    def has_end(self, instance: str, at: float, restored_at: float) -> bool:
         """Whether an end is counted already.
 
-        :param known_until: an end before this under the same name is one
-            that was counted before
+        :param restored_at: any end of the same instance before this is
+            contained in the restored records
         """
         return any(
             name == instance
-            and (abs(at - when) < _SAME_END_S or at <= known_until)
-            for name, when in self.ends
+            and (abs(at - known_at) < _SAME_END_MAX_S or at <= restored_at)
+            for name, known_at in self.ends
         )
 
 
 class EndRegister:
-    """The requests under suspicion, as the leader knows them.
+    """The leader's record of instance ends, by request.
 
-    :param noted: those that were written down before, with the instances
-        that ended under each
-    :param now: when this leader began; pauses begin anew
+    :param stored: the stored suspects, each with the instances that ended
+        under it
+    :param now: loop time at which this leader starts; pauses start again
     """
 
     def __init__(
         self,
-        noted: collections.abc.Mapping[str, collections.abc.Iterable[str]],
+        stored: collections.abc.Mapping[str, collections.abc.Iterable[str]],
         now: float,
     ) -> None:
-        self._began = now
+        self._restored_at = now
         self._records = {
             request: _Record([(instance, now) for instance in instances])
-            for request, instances in noted.items()
+            for request, instances in stored.items()
         }
 
     def __len__(self) -> int:
         return len(self._records)
 
     def record_end(self, request: str, instance: str, at: float) -> int:
-        """Count an instance that ended under a request.
+        """Count an instance that ended while it ran a request.
 
-        :param at: when that was seen, as loop time
-        :returns: how many ends there are now; 0 if it was counted before
+        :param at: loop time at which the end was observed
+        :returns: the number of ends, or 0 if this one is counted already
         """
         record = self._records.setdefault(request, _Record())
-        if record.has(instance, at, self._began):
+        if record.has_end(instance, at, self._restored_at):
             return 0
         record.ends.append((instance, at))
-        self._forget(_MOST)
+        self._evict(_MAX_RECORDS)
         return len(record.ends)
 
     def clear(self, request: str) -> bool:
-        """Forget a request; return whether it was known."""
+        """Drop the record of a request; return whether there was one."""
         return self._records.pop(request, None) is not None
 
     def request_permit(
-        self, request: str, holder: str, now: float, alive: Alive
+        self, request: str, holder: str, now: float, is_active: IsActive
     ) -> PermitDecision:
-        """Say whether a gateway may send a request now; one at a time may.
+        """Decide whether a gateway may send a request now.
 
-        :param holder: who asks; it gives back what it got
-        :param alive: tells whether a former holder may still be running it
+        :param holder: the gateway that asks, and releases the permit
+        :param is_active: whether a holder may still be running the request
         """
         record = self._records.get(request)
         if record is None or len(record.ends) < PERMIT_MIN_ENDS:
             return PermitDecision(granted=True)
-        if record.until > now:
-            left_s = record.until - now
-            back_s = None if left_s == float('inf') else left_s
+        if record.barred_until > now:
+            remaining_s = record.barred_until - now
+            retry_after_s = (
+                None if remaining_s == float('inf') else remaining_s
+            )
+            return PermitDecision(
+                granted=False, retry_after_s=retry_after_s, barred=True
+            )
+        if record.holder and is_active(record.holder):
             return PermitDecision(
-                granted=False, retry_after_s=back_s, barred=True
+                granted=False, retry_after_s=_PERMIT_HELD_RETRY_S
             )
-        if record.holder and alive(record.holder):
-            return PermitDecision(granted=False, retry_after_s=_BUSY_S)
         record.holder = holder
         return PermitDecision(granted=True)
 
     def release_permit(self, request: str, holder: str) -> None:
-        """Note that a gateway no longer runs a request."""
+        """Release the permit for a request if a gateway holds it."""
         record = self._records.get(request)
         if record is not None and record.holder == holder:
             record.holder = ''
 
     def suspects(self) -> list[Suspect]:
-        """Return what gateways are told of: requests under several ends."""
-        found = [
+        """Return the requests that need a permit, the latest ones last."""
+        suspects = [
             Suspect(
                 request=request,
                 ends=len(record.ends),
-                first_end_at=record.since,
-                barred_until=record.until,
+                first_end_at=record.first_end_at,
+                barred_until=record.barred_until,
             )
             for request, record in self._records.items()
             if len(record.ends) >= PERMIT_MIN_ENDS
         ]
-        found.sort(key=lambda one: one.first_end_at)
-        return found[-_MOST_WATCHED:]
+        suspects.sort(key=lambda suspect: suspect.first_end_at)
+        return suspects[-_MAX_SUSPECTS:]
 
     def ended_instances(self, request: str) -> tuple[str, ...]:
         """Return the instances that ended under a request."""
         record = self._records.get(request)
         return tuple(name for name, _ in record.ends) if record else ()
 
-    def _forget(self, most: int) -> None:
-        """Drop the oldest; requests under several ends only if need be."""
-        if len(self._records) <= most:
+    def _evict(self, max_records: int) -> None:
+        """Drop the oldest record above a limit; suspects only if necessary."""
+        if len(self._records) <= max_records:
             return
         for request, record in self._records.items():
             if len(record.ends) < PERMIT_MIN_ENDS:
@@ -220,10 +223,13 @@
         del self._records[next(iter(self._records))]
 
 
-def is_cleared(served: float | None, first_end: float) -> bool:
-    """Whether a good answer shows that a request is harmless.
+def is_cleared(served_at: float | None, first_end_at: float) -> bool:
+    """Whether a complete answer shows that a request is harmless.
 
-    :param served: when the latest one came, if any did
-    :param first_end: when the first instance ended under it
+    :param served_at: loop time of the latest complete answer, if any
+    :param first_end_at: loop time of the first end under the request
     """
-    return served is not None and served > first_end - _SERVED_BEFORE_S
+    return (
+        served_at is not None
+        and served_at > first_end_at - _CLEARED_BY_ANSWER_BEFORE_S
+    )
