--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -205,7 +205,7 @@
 def step_turns_given(context, count):
     async def give():
         for _ in range(count):
-            assert context.queue.grant_next(granted=True)
+            assert context.queue.resolve_next(granted=True)
             await asyncio.sleep(0)
         await asyncio.sleep(0.01)
         for task in context.waiting:
@@ -224,7 +224,7 @@
 @behave.when('the first of them is cancelled as it gets its turn')
 def step_cancel_turn(context):
     async def cancel():
-        context.queue.grant_next(granted=True)
+        context.queue.resolve_next(granted=True)
         context.waiting[0].cancel()
         await asyncio.gather(context.waiting[0], return_exceptions=True)
         context.waiting[1].cancel()
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -1,8 +1,9 @@
-"""From a call to the backend server that answers it.
+"""Dispatch of calls to backend servers.
 
-Candidates come in the order of the chat's rendezvous hash, after the one
-that the caller's placement hint names. The first one with room under the
-bound takes the call; if none has, the call queues at the first.
+The candidates are ordered by the chat's rendezvous hash, after the backend
+server that the caller's placement hint names. The first one below its
+concurrency limit gets the call; if all are at their limits, the call queues
+at the first one.
 """
 
 import asyncio
@@ -23,176 +24,198 @@
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
 
-_CANDIDATES = 6
-_FOREVER_S = 1e9  # that is, until the deadline
-_HANDOVER_PAUSE_S = 0.05
-_HANDOVER_LEASES = 3  # longest wait for a new steward
-_RESUMES = 5
-# A call under which several servers ended waits so long before the next one
-# gets it, in seconds: by then the fleet knows of their ends (0.05 until they
-# are probed, 0.05 until the leader tells, and a round trip).
-_VERDICT_S = 0.2
+_MAX_CANDIDATES = 6
+_UNTIL_DEADLINE_S = 1e9  # longer than any deadline
+_HANDOVER_POLL_S = 0.05
+_HANDOVER_TIMEOUT_LEASES = 3  # longest wait for a new owner, in lease periods
+_MAX_ATTEMPTS = 5
+# Delay before a call is retried that several servers crashed under. It is long
+# enough for the fleet to learn of the crashes.
+_SUSPECT_DELAY_S = 0.2
 
-_ELSEWHERE = (errors.BackendFull, errors.NotSent, errors.NotReady)
-# Refusals of a call that may end the server that runs it.
-_HELD = (errors.RequestBarred, errors.RequestHeld)
-_CUT = (errors.AnswerCut, errors.BackendLost, errors.PeerLost)
+_NEXT_SERVER_ERRORS = (errors.BackendFull, errors.NotSent, errors.NotReady)
+# Refusals of a call that may crash the server that runs it.
+_SUSPECT_ERRORS = (errors.RequestBarred, errors.RequestHeld)
+_INTERRUPTION_ERRORS = (errors.AnswerCut, errors.BackendLost, errors.PeerLost)
 
 
 class Dispatcher:
-    """Sends calls on, here or over a hop."""
+    """Sends calls to the owners of backend servers.
+
+    :param admission: runs the calls for the backend servers owned here
+    :param links: the links to the other owners
+    """
 
     def __init__(
         self,
         name: str,
         state: fleetstate.FleetState,
-        local: steward.AdmissionController,
+        admission: steward.AdmissionController,
         links: relay.PeerLinks,
         counters: metrics.Metrics,
     ) -> None:
         self._name = name
         self._state = state
-        self._steward = local
+        self._admission = admission
         self._links = links
         self._metrics = counters
         self._budget = retries.RetryBudget()
 
     def candidates(self, service: str, chat: str, hint: str) -> list[str]:
-        """Return the backend servers for a chat, the best one first.
+        """Return the candidate backend servers for a chat, the best one first.
+
+        :param hint: the backend server that the caller prefers, or ``''``
 
         :raises errors.UnknownService: if the bundle has no such service
         """
         pool = self._state.pool(service)
         usable = self._state.usable(pool)
-        ranked = hashing.rank(chat, usable, _CANDIDATES)
+        ranked = hashing.rank(chat, usable, _MAX_CANDIDATES)
         if hint in usable:
-            ranked = [hint, *(name for name in ranked if name != hint)]
+            ranked = [hint, *(server for server in ranked if server != hint)]
         return ranked
 
     async def answer(
         self, call: exchange.Call, hint: str = ''
     ) -> exchange.Answer:
-        """Yield the answer of whichever backend server takes the call."""
+        """Send a call to one of its candidates and yield the answer.
+
+        While backend servers change owners, the call is retried for some
+        lease periods.
+
+        :raises errors.HoneyportError: if the call was refused or failed
+        """
         self._budget.record_request()
         loop = asyncio.get_running_loop()
-        until = self._handover_until(call)
+        handover_deadline = self._handover_deadline(call)
         while True:
             self._state.check_lease()
             try:
-                async for frame in self._try_all(call, hint):
+                async for frame in self._try_candidates(call, hint):
                     yield frame
                 return
             except (errors.NotReady, errors.NotSent) as error:
-                if self._state.lease_left <= 0 or loop.time() > until:
+                if (
+                    self._state.lease_left <= 0
+                    or loop.time() > handover_deadline
+                ):
                     raise errors.Overloaded(
                         error.detail, retry_after=1.0
                     ) from None
-            await asyncio.sleep(_HANDOVER_PAUSE_S)
+            await asyncio.sleep(_HANDOVER_POLL_S)
 
-    async def _try_all(
+    async def _try_candidates(
         self, call: exchange.Call, hint: str
     ) -> exchange.Answer:
-        names = self.candidates(call.service, call.chat, hint)
-        if not names:
+        servers = self.candidates(call.service, call.chat, hint)
+        if not servers:
             raise errors.NotSent(f'no backend server of {call.service} is up')
-        plan = [(name, 0.0) for name in names] + [(names[0], _FOREVER_S)]
+        attempts = [(server, 0.0) for server in servers] + [
+            (servers[0], _UNTIL_DEADLINE_S)
+        ]
         if call.resumes:
-            plan = [(hint or names[0], _FOREVER_S)]  # only it has the stream
-        elif hint == names[0]:
-            # Its prefix is there: a short wait costs less than a miss.
-            warm_s = self._state.bundle.limits.warm_wait_ms / 1000
-            plan[0] = (hint, warm_s)
-        problem: errors.HoneyportError | None = None
-        lost: list[errors.HoneyportError] = []
-        for name, patience_s in plan:
+            attempts = [
+                (hint or servers[0], _UNTIL_DEADLINE_S)
+            ]  # holds the stream
+        elif hint == servers[0]:
+            # A short wait costs less than computing the prefix elsewhere.
+            warm_wait_s = self._state.bundle.limits.warm_wait_ms / 1000
+            attempts[0] = (hint, warm_wait_s)
+        last_error: errors.HoneyportError | None = None
+        lost_errors: list[errors.HoneyportError] = []
+        for server, patience_s in attempts:
             started = False
-            if len(lost) >= suspicion.PERMIT_MIN_ENDS:
-                await asyncio.sleep(_VERDICT_S)
+            if len(lost_errors) >= suspicion.PERMIT_MIN_ENDS:
+                await asyncio.sleep(_SUSPECT_DELAY_S)
             try:
                 attempt = attrs.evolve(call, patience_s=patience_s)
-                async for frame in self._whole(attempt, name):
+                async for frame in self._answer_resuming(attempt, server):
                     started = True
                     yield frame
                 return
-            except _ELSEWHERE as error:
-                problem = error
+            except _NEXT_SERVER_ERRORS as error:
+                last_error = error
             except (errors.BackendLost, errors.PeerLost) as error:
-                if started or not self._may_repeat(call):
+                if started or not self._may_retry(call):
                     raise
-                problem = error
-                lost.append(error)
-            except _HELD:
-                if lost:  # "not run" is true of the last try alone
-                    raise lost[-1] from None
+                last_error = error
+                lost_errors.append(error)
+            except _SUSPECT_ERRORS:
+                if lost_errors:  # an earlier attempt may have run
+                    raise lost_errors[-1] from None
                 raise
-        assert problem is not None
-        raise problem
+        assert last_error is not None
+        raise last_error
 
-    def _may_repeat(self, call: exchange.Call) -> bool:
+    def _may_retry(self, call: exchange.Call) -> bool:
         if not call.repeatable:
             return False
         self._metrics.count('retries')
         return self._budget.try_spend()
 
-    async def _whole(
+    async def _answer_resuming(
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
-        """Yield an answer; resume a stream of events that is cut."""
+        """Yield an answer; resume an event stream that is interrupted."""
         offset = resume.StreamOffset(max(0, call.resume_after))
-        number = length = 0
-        streamed = headed = False
+        frame_count = byte_count = 0
+        is_event_stream = is_head_sent = False
         current = call
         attempt = 1
-        until = 0.0
+        handover_deadline = 0.0
         while True:
             try:
                 async for frame in self._send(current, backend):
                     if isinstance(frame, exchange.Head):
-                        streamed = frame.is_event_stream
-                        if not headed:
+                        is_event_stream = frame.is_event_stream
+                        if not is_head_sent:
                             yield frame
-                        headed = True
+                        is_head_sent = True
                     elif isinstance(frame, exchange.Data):
                         payload = frame.payload
-                        if streamed:
+                        if is_event_stream:
                             payload = offset.strip_received(payload)
-                        number += 1
-                        length += len(payload)
-                        yield exchange.Data(number, payload)
-                yield exchange.End(number, length)
+                        frame_count += 1
+                        byte_count += len(payload)
+                        yield exchange.Data(frame_count, payload)
+                yield exchange.End(frame_count, byte_count)
                 return
-            except _CUT as error:
-                resumable = headed and streamed and call.repeatable
-                if not resumable or attempt == _RESUMES:
+            except _INTERRUPTION_ERRORS as error:
+                is_resumable = (
+                    is_head_sent and is_event_stream and call.repeatable
+                )
+                if not is_resumable or attempt == _MAX_ATTEMPTS:
                     raise
-                self._note_cut(call, backend, error)
+                self._record_resume(call, backend, error)
                 attempt += 1
-                until = self._handover_until(call)
-            except _HELD as error:
-                if not headed:
+                handover_deadline = self._handover_deadline(call)
+            except _SUSPECT_ERRORS as error:
+                if not is_head_sent:
                     raise
                 raise errors.AnswerCut(error.detail) from None
-            except _ELSEWHERE as error:
-                if not headed:
+            except _NEXT_SERVER_ERRORS as error:
+                if not is_head_sent:
                     raise
-                if asyncio.get_running_loop().time() > until:
+                if asyncio.get_running_loop().time() > handover_deadline:
                     raise errors.AnswerCut(error.detail) from None
-                await asyncio.sleep(_HANDOVER_PAUSE_S)
+                await asyncio.sleep(_HANDOVER_POLL_S)
             offset.begin_resume()
             current = attrs.evolve(
                 call,
                 attempt=call.attempt + attempt - 1,
                 resume_after=offset.last_event,
-                patience_s=_FOREVER_S,
+                patience_s=_UNTIL_DEADLINE_S,
             )
 
-    def _handover_until(self, call: exchange.Call) -> float:
-        """Return until when to wait for a new steward, in loop time."""
+    def _handover_deadline(self, call: exchange.Call) -> float:
+        """Return when to give up waiting for a new owner, in loop time."""
         lease_s = self._state.timing.lease_ms / 1000
         loop = asyncio.get_running_loop()
-        return min(call.deadline, loop.time() + _HANDOVER_LEASES * lease_s)
+        return min(
+            call.deadline, loop.time() + _HANDOVER_TIMEOUT_LEASES * lease_s
+        )
 
-    def _note_cut(
+    def _record_resume(
         self,
         call: exchange.Call,
         backend: str,
@@ -209,21 +232,21 @@
     async def _send(
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
-        """Send a call to the steward of a backend server."""
-        name = self._state.owner(backend)
-        answer = self._route(call, backend, name)
+        """Send a call to the owner of a backend server."""
+        owner = self._state.owner(backend)
+        answer = self._open_answer(call, backend, owner)
         async with contextlib.aclosing(answer):
             async for frame in answer:
                 yield frame
 
-    def _route(
-        self, call: exchange.Call, backend: str, name: str
+    def _open_answer(
+        self, call: exchange.Call, backend: str, owner: str
     ) -> exchange.Answer:
-        if name == self._name:
+        if owner == self._name:
             self._metrics.count('hops', kind='none')
-            return self._steward.answer(call, backend)
-        member = self._state.members.get(name)
+            return self._admission.answer(call, backend)
+        member = self._state.members.get(owner)
         if member is None:
-            raise errors.NotReady(f'nobody stewards {backend} yet')
+            raise errors.NotReady(f'{backend} has no owner yet')
         self._metrics.count('hops', kind='one')
         return self._links.get(member.peer_address).answer(call, backend)
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -222,7 +222,7 @@
         self._lease_lapsed = lapsed
         if lapsed:
             for server in self._servers.values():
-                while server.queue.grant_next(granted=False):
+                while server.queue.resolve_next(granted=False):
                     pass
 
     def on_state_changed(self) -> None:
@@ -293,7 +293,7 @@
             server.owned = False
             server.ready = False
             logs.emit(events.ENGINE_LEFT, backend=server.name)
-        while server.queue.grant_next(granted=False):
+        while server.queue.resolve_next(granted=False):
             pass
 
     def _remove_server(self, server: slots.BackendState) -> None:
@@ -430,7 +430,7 @@
     def _admit_waiting(self, server: slots.BackendState) -> None:
         while len(server.queue) and self._has_free_slot(server):
             server.running += 1
-            if not server.queue.grant_next(granted=True):
+            if not server.queue.resolve_next(granted=True):
                 server.running -= 1
                 return
 
