--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -1,8 +1,7 @@
 """A router's stream to the leading control replica.
 
-One task holds the stream: it finds the leader, reads what comes, and ends
-when the stream does. Another one writes a report every period, and at
-once when something changed that the fleet waits for.
+One task finds the leader, opens the stream and applies what it receives.
+Another task sends a load report every period, or earlier on request.
 """
 
 import asyncio
@@ -30,98 +29,97 @@
 from honeyport.wire import listing
 from honeyport.wire import outbox
 
-_PAUSE_S = 0.1
-_ATTACH_S = 0.5
-_SILENCE = 0.5  # of a lease, after which a stream is given up
-_KEPT_REPORTS = 100  # without an answer, before they are forgotten
-_SOONEST_S = 0.02  # between two reports, however much changes
+_RECONNECT_DELAY_S = 0.1
+_FIRST_MESSAGE_TIMEOUT_S = 0.5
+_SILENCE_TIMEOUT_LEASES = 0.5  # without a message, in lease periods
+_MAX_UNANSWERED_REPORTS = 100
+_MIN_REPORT_INTERVAL_S = 0.02
 
-Fill = typing.Callable[[pb.Report], None]
+AddLoads = typing.Callable[[pb.Report], None]
 OnView = typing.Callable[[bool], None]
-OnNews = typing.Callable[[], None]
+OnMessage = typing.Callable[[], None]
 
 
 @attrs.define
-class _Pending:
+class _PendingClaim:
     request: pb.ClaimRequest
     future: asyncio.Future[pb.ClaimAnswer]
 
 
 class Session:
-    """The stream, whichever replica it leads to.
-
-    :param fill: adds loads to a report
-    :param on_view: called after a view was applied, with whether it
-        follows the one before without a gap; ``None`` for a router that
-        stewards nothing, and is told of no view
-    :param on_news: called after each message was taken in
-    :param held: the requests that are held back
+    """The stream to the leader; it is opened again whenever it ends.
+
+    :param add_loads: adds loads to a report
+    :param on_view: called after a view was applied, with whether it directly
+        follows the view before; ``None`` for a router that owns no backend
+        servers and receives no views
+    :param on_message: called after each message was applied
+    :param suspect_tracker: sends reports of crashes, and asks for permits
     """
 
     def __init__(
         self,
         settings: roles.Router,
         state: fleetstate.FleetState,
-        fill: Fill,
+        add_loads: AddLoads,
         on_view: OnView | None,
-        on_news: OnNews,
-        held: suspects.SuspectTracker,
+        on_message: OnMessage,
+        suspect_tracker: suspects.SuspectTracker,
         counters: metrics.Metrics,
     ) -> None:
         self._settings = settings
         self._state = state
-        self._fill = fill
+        self._add_loads = add_loads
         self._on_view = on_view
-        self._on_news = on_news
-        self._suspects = held
-        self._suspects.set_sender(self._put)
+        self._on_message = on_message
+        self._suspects = suspect_tracker
+        self._suspects.set_sender(self._send_if_attached)
         self._metrics = counters
         self._incarnation = uuid.uuid4().hex[:12]
         self._outbox: outbox.Outbox[pb.RouterItem] | None = None
         self._contacts = contacts.Contacts(settings.control, settings.replica)
-        self._numbers = itertools.count(1)
-        self._sent: dict[int, float] = {}
-        self._reported: dict[int, pb.Report] = {}
-        self._stamp = 0  # of the leader's latest answer
-        self._news = asyncio.Event()
-        self._leaving = False
+        self._report_numbers = itertools.count(1)
+        self._sent_at: dict[int, float] = {}
+        self._unanswered_reports: dict[int, pb.Report] = {}
+        self._leader_timestamp = 0  # of its latest answer, by its clock
+        self._report_requested = asyncio.Event()
+        self._is_leaving = False
         self._claim_ids = itertools.count(1)
-        self._pending: dict[int, _Pending] = {}
-        self._gap = True
-        self._attached_to = ''
+        self._pending_claims: dict[int, _PendingClaim] = {}
+        self._has_view_gap = True
+        self._leader_address = ''
         self._search = leader_search.LeaderSearch(counters)
-        self._start_over = False  # our configuration led nowhere
+        self._needs_full_state = False  # an update did not match
 
     @property
     def incarnation(self) -> str:
-        """Tells this run of the process from any other."""
+        """A random identifier of this run of the process."""
         return self._incarnation
 
     @property
     def attached(self) -> bool:
-        """Whether there is a stream to a leader."""
+        """Whether a stream to a leader is open."""
         return self._outbox is not None
 
     @property
     def leader(self) -> str:
-        """The address that the stream leads to, or ``''``."""
-        return self._attached_to if self.attached else ''
+        """The address of the leader that the stream goes to, or ``''``."""
+        return self._leader_address if self.attached else ''
 
     def set_control_addresses(self, control: tuple[str, ...]) -> None:
-        """Look for the leader at other addresses, too; the stream stays."""
+        """Set the configured addresses of control; keep an open stream."""
         self._contacts.set_configured(control)
 
     def handle_introduction(self, introduction: pb.Redirect) -> None:
-        """Take it that a leader called; it is asked next, if we have none."""
+        """Try a leader that introduced itself next, if none is attached."""
         logs.emit(events.INTRODUCED, leader=introduction.leader)
         if not self.attached:
             self._contacts.add_hint(introduction.leader, introduction.replicas)
 
     def control_location(self) -> pb.Redirect:
-        """Return where control is, for an instance that asks us.
+        """Return the addresses of control, for another router that asks.
 
-        A leader that has fallen silent is not named: whoever asks would lose
-        a try on it.
+        A leader that no longer answers is left out.
         """
         is_lost = addresses.is_isolated(self._state.control_silence_s)
         return pb.Redirect(
@@ -131,24 +129,24 @@
 
     def report_soon(self) -> None:
         """Send the next report at once."""
-        self._news.set()
+        self._report_requested.set()
 
     def announce_leaving(self) -> None:
-        """Say in all further reports that this router is leaving."""
-        self._leaving = True
+        """Report from now on that this router is leaving."""
+        self._is_leaving = True
         self.report_soon()
 
     async def claim(self, request: pb.ClaimRequest) -> pb.ClaimAnswer:
-        """Have a claim request committed; sent again on a new stream."""
+        """Send a claim request until it is answered, over new streams, too."""
         request.id = next(self._claim_ids)
         future = asyncio.get_running_loop().create_future()
-        self._pending[request.id] = _Pending(request, future)
+        self._pending_claims[request.id] = _PendingClaim(request, future)
         if self._outbox is not None:
             self._outbox.put(pb.RouterItem(claim=request))
         try:
             return await future
         finally:
-            self._pending.pop(request.id, None)
+            self._pending_claims.pop(request.id, None)
 
     async def run(self) -> None:
         """Keep a stream to the leader until cancelled."""
@@ -164,39 +162,46 @@
                     code=error.code,
                     detail=error.detail,
                 )
-                self._start_over = True
+                self._needs_full_state = True
                 reason = error.code
             self._search.record_ended(address, reason)
             if not self._contacts.has_leader_hint:
-                await asyncio.sleep(_PAUSE_S)
+                await asyncio.sleep(_RECONNECT_DELAY_S)
 
     async def _attach(self, address: str) -> str:
-        """Open a stream and read it to its end; return why it ended."""
+        """Open a stream and read it to its end; return why it ended.
+
+        :raises grpc.aio.AioRpcError: if the stream failed
+        :raises errors.ConfigUnusable: if a configuration update did not match
+        :raises errors.ListUnusable: if an update of a list did not match
+        """
         channel = channels.connect(address)
         box: outbox.Outbox[pb.RouterItem] = outbox.Outbox()
         box.put(pb.RouterItem(hello=self._hello()))
         reporter = None
         call = rpc.SessionStub(channel).Attach(self._batches(box))
         try:
-            first = await asyncio.wait_for(call.read(), _ATTACH_S)
+            first = await asyncio.wait_for(
+                call.read(), _FIRST_MESSAGE_TIMEOUT_S
+            )
             if first is grpc.aio.EOF:
                 return leader_search.ENDED
-            if self._redirected(first):
+            if self._handle_redirect(first):
                 if self._contacts.has_leader_hint:
                     return leader_search.REDIRECTED
                 return leader_search.NO_LEADER
-            self._begin(box)
-            self._attached_to = address
+            self._start_stream(box)
+            self._leader_address = address
             self._search.record_opened(address)
-            reporter = asyncio.create_task(self._report(box))
-            self._take(first)
-            while (batch := await self._next(call)) is not grpc.aio.EOF:
-                if self._redirected(batch):
+            reporter = asyncio.create_task(self._send_reports(box))
+            self._apply_batch(first)
+            while (batch := await self._read_batch(call)) is not grpc.aio.EOF:
+                if self._handle_redirect(batch):
                     return leader_search.REDIRECTED
-                self._take(batch)
+                self._apply_batch(batch)
             return leader_search.ENDED
         except TimeoutError:
-            return leader_search.SILENT  # frozen, or cut off
+            return leader_search.SILENT
         finally:
             call.cancel()
             if reporter is not None:
@@ -207,35 +212,39 @@
             box.close()
             await channel.close()
 
-    async def _next(self, call: grpc.aio.StreamStreamCall) -> pb.ControlBatch:
-        """Return the next message; every report is answered soon.
+    async def _read_batch(
+        self, call: grpc.aio.StreamStreamCall
+    ) -> pb.ControlBatch:
+        """Return the next message.
 
-        :raises TimeoutError: after half a lease of silence, so that there
-            is time to find the next leader before the lease lapses
+        :raises TimeoutError: after half a lease period without a message,
+            which leaves time to find a new leader before the lease lapses
         """
-        silence_s = self._state.timing.lease_ms / 1000 * _SILENCE
+        silence_s = (
+            self._state.timing.lease_ms / 1000 * _SILENCE_TIMEOUT_LEASES
+        )
         return await asyncio.wait_for(call.read(), silence_s)
 
-    def _begin(self, box: outbox.Outbox[pb.RouterItem]) -> None:
+    def _start_stream(self, box: outbox.Outbox[pb.RouterItem]) -> None:
         self._outbox = box
-        self._sent.clear()
-        self._reported.clear()
+        self._sent_at.clear()
+        self._unanswered_reports.clear()
         self._state.apply_own_report(pb.Report())
-        self._stamp = 0
-        self._gap = True
+        self._leader_timestamp = 0
+        self._has_view_gap = True
         for item in self._suspects.initial_items():
             box.put(item)
-        for pending in list(self._pending.values()):
+        for pending in list(self._pending_claims.values()):
             box.put(pb.RouterItem(claim=pending.request))
 
-    def _put(self, item: pb.RouterItem) -> bool:
-        """Send an item if there is a stream; return whether there is."""
+    def _send_if_attached(self, item: pb.RouterItem) -> bool:
+        """Send an item if a stream is open; return whether one is."""
         if self._outbox is None:
             return False
         self._outbox.put(item)
         return True
 
-    def _redirected(self, batch: pb.ControlBatch) -> bool:
+    def _handle_redirect(self, batch: pb.ControlBatch) -> bool:
         for item in batch.items:
             if item.HasField('redirect'):
                 redirect = item.redirect
@@ -243,19 +252,19 @@
                 return True
         return False
 
-    def _take(self, batch: pb.ControlBatch) -> None:
+    def _apply_batch(self, batch: pb.ControlBatch) -> None:
         self._metrics.count(
             'control_bytes', batch.ByteSize(), direction='received'
         )
         for item in batch.items:
             kind = item.WhichOneof('item')
             if kind == 'answer':
-                self._take_answer(item.answer)
+                self._apply_report_answer(item.answer)
             elif kind == 'config':
                 if self._state.apply_config(item.config):
                     self.report_soon()
             elif kind == 'view':
-                self._take_view(item.view)
+                self._apply_view(item.view)
             elif kind == 'loads':
                 self._state.apply_loads(item.loads)
             elif kind == 'evacuations':
@@ -268,65 +277,77 @@
                 found = listing.apply(self._state.instances, item.instances)
                 self._state.apply_instances(found)
             elif kind == 'claim':
-                self._take_claim(item.claim)
+                self._resolve_claim(item.claim)
             elif kind == 'suspects':
                 self._suspects.apply(item.suspects)
             elif kind == 'permit':
                 self._suspects.resolve_permit(item.permit)
-        self._on_news()
-
-    def _take_answer(self, answer: pb.ReportAnswer) -> None:
-        if answer.counted in self._reported:
-            self._state.apply_own_report(self._reported[answer.counted])
-            for number in [n for n in self._reported if n < answer.counted]:
-                del self._reported[number]
-        sent = self._sent.pop(answer.number, None)
+        self._on_message()
+
+    def _apply_report_answer(self, answer: pb.ReportAnswer) -> None:
+        if answer.counted in self._unanswered_reports:
+            self._state.apply_own_report(
+                self._unanswered_reports[answer.counted]
+            )
+            for number in [
+                unanswered
+                for unanswered in self._unanswered_reports
+                if unanswered < answer.counted
+            ]:
+                del self._unanswered_reports[number]
+        sent = self._sent_at.pop(answer.number, None)
         if sent is not None:
-            self._stamp = answer.stamp
+            self._leader_timestamp = answer.stamp
             self._state.renew_lease(sent, answer.lease_ms)
 
-    def _take_view(self, view: pb.View) -> None:
-        """Apply a view and acknowledge it at once.
+    def _apply_view(self, view: pb.View) -> None:
+        """Apply a view and acknowledge it with an immediate report.
 
-        The first view of a stream follows the last one known only if it
-        is the same: views in between may have passed us by.
+        The first view of a stream counts as consecutive only if it is the
+        last one known: others may have been missed in between.
         """
-        followed = not self._gap or view.number == self._state.view
-        self._gap = False
-        is_new = self._state.apply_view(view) or not followed
+        is_consecutive = (
+            not self._has_view_gap or view.number == self._state.view
+        )
+        self._has_view_gap = False
+        is_new = self._state.apply_view(view) or not is_consecutive
         if is_new and self._on_view is not None:
-            self._on_view(followed)
+            self._on_view(is_consecutive)
         self.report_soon()
 
-    def _take_claim(self, answer: pb.ClaimAnswer) -> None:
-        pending = self._pending.get(answer.id)
+    def _resolve_claim(self, answer: pb.ClaimAnswer) -> None:
+        pending = self._pending_claims.get(answer.id)
         if pending is None or pending.future.done():
             return
         if answer.state == pb.ClaimAnswer.FAILED:
-            return  # sent again on the next stream
+            return  # it is sent again on the next stream
         pending.future.set_result(answer)
 
-    async def _report(self, box: outbox.Outbox[pb.RouterItem]) -> None:
+    async def _send_reports(self, box: outbox.Outbox[pb.RouterItem]) -> None:
         while True:
-            number = next(self._numbers)
+            number = next(self._report_numbers)
             report = pb.Report(
                 number=number,
                 config_version=self._state.version,
                 view=self._state.view,
-                leaving=self._leaving,
-                stamp=self._stamp,
+                leaving=self._is_leaving,
+                stamp=self._leader_timestamp,
             )
-            self._fill(report)
-            self._sent[number] = asyncio.get_running_loop().time()
-            self._reported[number] = report
-            for kept in (self._sent, self._reported):
-                kept.pop(number - _KEPT_REPORTS, None)
+            self._add_loads(report)
+            self._sent_at[number] = asyncio.get_running_loop().time()
+            self._unanswered_reports[number] = report
+            for reports_by_number in (self._sent_at, self._unanswered_reports):
+                reports_by_number.pop(number - _MAX_UNANSWERED_REPORTS, None)
             box.put(pb.RouterItem(report=report))
-            await asyncio.sleep(_SOONEST_S)
-            period = self._state.timing.report_ms / 1000 - _SOONEST_S
+            await asyncio.sleep(_MIN_REPORT_INTERVAL_S)
+            remaining_s = (
+                self._state.timing.report_ms / 1000 - _MIN_REPORT_INTERVAL_S
+            )
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._news.wait(), max(period, 0.0))
-            self._news.clear()
+                await asyncio.wait_for(
+                    self._report_requested.wait(), max(remaining_s, 0.0)
+                )
+            self._report_requested.clear()
 
     async def _batches(
         self, box: outbox.Outbox[pb.RouterItem]
@@ -350,13 +371,13 @@
             suspects=self._suspects.count,
             no_view=self._on_view is None,
         )
-        # Without them, it asks for the whole of both.
-        if not self._start_over:
+        # Without these fields, the leader sends full snapshots of both.
+        if not self._needs_full_state:
             listed = self._state.instances
             hello.config_version = self._state.version
             hello.config_digest = self._state.digest
             hello.instances = listed.number
             if listed.number:
                 hello.instances_digests = listing.digests(listed.instances)
-        self._start_over = False
+        self._needs_full_state = False
         return hello
