--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -1,4 +1,4 @@
-"""What a router knows of the fleet: bundle, view, loads and its lease."""
+"""A router's copy of the fleet's state: bundle, view, loads and lease."""
 
 import asyncio
 import collections.abc
@@ -15,14 +15,11 @@
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
 
-# From a start to the first configuration while control starts as well, in
-# seconds.
-_FIRST_CONFIG_S = 2.0
-# Periods between two reports after which the others' loads count as none.
-# With the leader's own limit (3 periods and a tick of 50 ms) this is how
-# old a load may be that raises the mean.
-_FRESH_REPORTS = 2
-_DRIFT = 0.9  # of a lease: room for a clock that runs slow
+_FIRST_CONFIG_RETRY_S = 2.0
+_MAX_LOAD_AGE_PERIODS = 2  # report periods after which loads are out of date
+_CLOCK_DRIFT_FACTOR = (
+    0.9  # of the lease period, in case the local clock is slow
+)
 
 
 @attrs.frozen
@@ -34,7 +31,7 @@
 
 
 class FleetState:
-    """The latest of everything; changed by the session alone."""
+    """The latest state that control sent; only the session changes it."""
 
     def __init__(self) -> None:
         self._version = 0
@@ -43,37 +40,37 @@
         self._bundle: model.Bundle | None = None
         self._pools: dict[str, Pool] = {}
         self._view = pb.View()
-        self._settled = 0
-        self._settled_version = 0
-        self._stewards: dict[str, str] = {}
+        self._converged_view = 0
+        self._converged_version = 0
+        self._owners: dict[str, str] = {}
         self._members: dict[str, pb.Member] = {}
-        self._near: dict[str, list[str]] = {}
+        self._members_by_domain: dict[str, list[str]] = {}
         self._backends_revision = 0
         self._lease_until = float('-inf')
-        self._heard_as_of = float('-inf')
+        self._answered_report_sent_at = float('-inf')
         self._peer_loads = peer_loads.PeerLoads()
         self._down: frozenset[str] = frozenset()
         self._leaving: frozenset[str] = frozenset()
         self._instances = pb.Instances()
         self._evacuated: frozenset[str] = frozenset()
-        self._present: list[pb.Member] = []
-        self._departing: list[str] = []
+        self._serving_routers: list[pb.Member] = []
+        self._draining_routers: list[str] = []
 
     @property
     def version(self) -> int:
-        """The version in force here; 0 before the first."""
+        """The version of the bundle in force here; 0 before the first."""
         return self._version
 
     @property
     def digest(self) -> str:
-        """The digest of that version."""
+        """The digest of the bundle in force here."""
         return self._digest
 
     @property
     def bundle(self) -> model.Bundle:
         """The bundle in force here.
 
-        :raises errors.NotReady: before the first
+        :raises errors.NotReady: if none was received yet
         """
         if self._bundle is None:
             raise errors.NotReady('no configuration yet', retry_after=1.0)
@@ -86,18 +83,18 @@
 
     @property
     def is_converged(self) -> bool:
-        """Whether every router with a lease has our view and version.
+        """Whether every router with a lease has this view and version.
 
-        Only then has each given up what went to another.
+        Previous owners of backend servers have released them then.
         """
         return (
-            self._settled >= self._view.number > 0
-            and self._settled_version >= self._version
+            self._converged_view >= self._view.number > 0
+            and self._converged_version >= self._version
         )
 
     @property
     def members(self) -> dict[str, pb.Member]:
-        """The routers of the view that may be stewards, by name."""
+        """The routers of the view that may own backend servers, by name."""
         return self._members
 
     @property
@@ -108,12 +105,12 @@
     @property
     def serving_routers(self) -> list[pb.Member]:
         """The routers that callers may be sent to."""
-        return self._present
+        return self._serving_routers
 
     @property
     def draining_routers(self) -> list[str]:
-        """The names of the routers that leave in an orderly way."""
-        return self._departing
+        """The names of the routers that are shutting down gracefully."""
+        return self._draining_routers
 
     @property
     def instances(self) -> pb.Instances:
@@ -122,34 +119,36 @@
 
     @property
     def unreachable(self) -> set[str]:
-        """The instances that gateways of several domains cannot reach."""
+        """Instances that gateways of several failure domains can't reach."""
         return self._peer_loads.unreachable
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """The failure domains whose instances get nothing new."""
+        """The failure domains whose instances get no new requests."""
         return self._evacuated
 
     @property
     def backends_revision(self) -> int:
-        """Counts the changes to services and backend servers."""
+        """A counter of changes to services and backend servers."""
         return self._backends_revision
 
     @property
     def lease_left(self) -> float:
-        """Seconds until this router must stop taking work."""
+        """Seconds until this router may not accept requests any more."""
         return self._lease_until - asyncio.get_running_loop().time()
 
     @property
     def control_silence_s(self) -> float:
-        """Seconds since the report that control answered last."""
-        return asyncio.get_running_loop().time() - self._heard_as_of
+        """Seconds since the last report that control answered was sent."""
+        return (
+            asyncio.get_running_loop().time() - self._answered_report_sent_at
+        )
 
     @property
     def loads_age_s(self) -> float:
-        """How old the others' loads are on average, in seconds.
+        """The mean age of the other routers' loads, in seconds.
 
-        They were reported within a period before control answered us.
+        They were reported within the period before control's last answer.
         """
         return self.control_silence_s + self.timing.report_ms / 1000 / 2
 
@@ -160,34 +159,39 @@
 
     @property
     def may_serve(self) -> bool:
-        """Whether there is a configuration and the lease stands."""
+        """Whether there is a configuration and the lease is valid."""
         return self._bundle is not None and self.lease_left > 0
 
     def check_lease(self) -> None:
-        """Raise :class:`errors.NotReady` if new work may not start."""
+        """Check that this router may accept requests.
+
+        :raises errors.NotReady: without a configuration or a valid lease
+        """
         if self._bundle is None:
             raise errors.NotReady(
-                'no configuration yet', retry_after=_FIRST_CONFIG_S
+                'no configuration yet', retry_after=_FIRST_CONFIG_RETRY_S
             )
         if self.lease_left <= 0:
             raise errors.NotReady(
-                'cut off from control', retry_after=self._lease_s()
+                'the lease from control has lapsed',
+                retry_after=self._lease_s(),
             )
 
     def pool(self, service: str) -> Pool:
-        """Return a service's backend servers.
+        """Return the pool of a service's backend servers.
 
-        :raises errors.UnknownService: if the bundle does not name it
+        :raises errors.NotReady: if there is no configuration yet
+        :raises errors.UnknownService: if the bundle has no such service
         """
         if self._bundle is None:
             raise errors.NotReady('no configuration yet', retry_after=1.0)
-        found = self._pools.get(service)
-        if found is None:
+        pool = self._pools.get(service)
+        if pool is None:
             raise errors.UnknownService(f'no service {service!r}')
-        return found
+        return pool
 
     def usable(self, pool: Pool) -> list[str]:
-        """Return the pool's backend servers that may get new work."""
+        """Return the pool's backend servers that may get new requests."""
         if not self._down and not self._leaving and not self._evacuated:
             return list(pool.names)
         return [
@@ -197,23 +201,23 @@
         ]
 
     def is_leaving(self, backend: str) -> bool:
-        """Whether a backend server gets no new work any more."""
+        """Whether a backend server is leaving or evacuated."""
         return backend in self._leaving or self._is_evacuated(backend)
 
     def owner(self, backend: str) -> str:
-        """Return the router that stewards a backend server, or ``''``.
+        """Return the router that owns a backend server, or ``''``.
 
-        A router of the same failure domain goes first, so that losing a
-        domain moves few backend servers of the others.
+        Routers of the same failure domain are preferred, so that the loss of
+        a domain changes few owners in the others.
         """
-        found = self._stewards.get(backend)
-        if found is None:
-            found = self._choose_steward(backend)
-            self._stewards[backend] = found
-        return found
+        owner = self._owners.get(backend)
+        if owner is None:
+            owner = self._choose_owner(backend)
+            self._owners[backend] = owner
+        return owner
 
     def is_owner(self, name: str, backend: str) -> bool:
-        """Whether a router stewards a backend server."""
+        """Whether a router owns a backend server."""
         if name not in self._members:
             return False
         candidates = self._candidates(backend)
@@ -222,33 +226,33 @@
         )
 
     def load_elsewhere(self, service: str) -> int:
-        """Return what recent_minimum runs or waits at all other routers.
+        """Return a lower bound of the requests at all other routers.
 
-        It is the lesser of the last two things heard, and none where that
-        was too long ago: a mean that has fallen since must not be believed.
+        It is the minimum of the last two loads received, and 0 if the last
+        one is out of date. Running and queued requests count.
         """
-        fresh_s = _FRESH_REPORTS * self.timing.report_ms / 1000
+        max_age_s = _MAX_LOAD_AGE_PERIODS * self.timing.report_ms / 1000
         now = asyncio.get_running_loop().time()
-        if now - self._heard_as_of > fresh_s:
+        if now - self._answered_report_sent_at > max_age_s:
             return 0
         return self._peer_loads.recent_minimum(service)
 
     @property
     def running_elsewhere(self) -> dict[str, int]:
-        """What other routers have running, by backend server."""
+        """Requests that other routers are running, by backend server."""
         return self._peer_loads.by_backend
 
     def running_elsewhere_on(self, backend: str) -> int:
-        """Return what former stewards still have running there."""
+        """Return the requests that other routers run on a backend server."""
         return self._peer_loads.by_backend.get(backend, 0)
 
     def apply_config(self, config: pb.Config) -> bool:
-        """Take a version; return whether it is in force now.
+        """Apply a snapshot or delta; return whether it is now in force.
 
-        A lower version than the one in force is never taken.
+        A version that is not higher than the one in force is ignored.
 
-        :raises errors.ConfigUnusable: if it does not follow ours, or its
-            digest does not match its entries
+        :raises errors.ConfigUnusable: if a delta has another base version, or
+            the digest does not match the entries
         """
         if config.version <= self._version:
             logs.emit(
@@ -258,16 +262,19 @@
         if config.snapshot:
             entries = packed.unpack_snapshot(config.snapshot)
             contents = bundle_entries.EntrySet(entries)
-            changed: collections.abc.Iterable[str] = entries
+            changed_keys: collections.abc.Iterable[str] = entries
         else:
             delta = packed.unpack_delta(config)
             contents = self._contents.apply(delta)
-            changed = (*delta.put, *delta.removed)
-        follows = config.snapshot or config.base == self._version
-        if not follows or contents.digest(config.version) != config.digest:
+            changed_keys = (*delta.put, *delta.removed)
+        is_applicable = config.snapshot or config.base == self._version
+        if (
+            not is_applicable
+            or contents.digest(config.version) != config.digest
+        ):
             raise errors.ConfigUnusable(
-                f'version {config.version} from {config.base} does not fit '
-                f'version {self._version}'
+                f'version {config.version} based on {config.base} does not '
+                f'apply to version {self._version}'
             )
         self._contents = contents
         if config.snapshot or self._bundle is None:
@@ -278,15 +285,15 @@
             self._bundle = bundle_entries.apply_delta(self._bundle, delta)
         self._version = config.version
         self._digest = config.digest
-        if config.snapshot or any(map(_moves_work, changed)):
+        if config.snapshot or any(map(_affects_backends, changed_keys)):
             self._pools = _pools(self._bundle)
-            self._stewards.clear()
+            self._owners.clear()
             self._backends_revision += 1
         logs.emit(events.CONFIG_APPLIED, version=self._version)
         return True
 
     def apply_view(self, view: pb.View) -> bool:
-        """Take a view; return whether it is newer."""
+        """Apply a view if it is newer; return whether it is."""
         if view.number <= self._view.number:
             return False
         self._view = view
@@ -295,59 +302,67 @@
             for member in view.members
             if not member.leaving
         }
-        self._near = {}
+        self._members_by_domain = {}
         for member in self._members.values():
-            self._near.setdefault(member.domain, []).append(member.router)
-        self._stewards.clear()
+            self._members_by_domain.setdefault(member.domain, []).append(
+                member.router
+            )
+        self._owners.clear()
         return True
 
     def apply_loads(self, loads: pb.Loads) -> None:
-        """Take the loads of all routers, or what changed of them.
+        """Apply the loads of all routers, or changes to them.
 
-        :raises errors.ListUnusable: if they are those of another list
+        :raises errors.ListUnusable: if they refer to another list of instances
         """
         self._peer_loads.take(loads, self._instances)
-        self._settled = loads.settled
-        self._settled_version = loads.settled_version
+        self._converged_view = loads.settled
+        self._converged_version = loads.settled_version
         self._down = frozenset(loads.down)
         self._leaving = frozenset(loads.leaving)
 
     def apply_own_report(self, report: pb.Report) -> None:
-        """Take the report of ours that the loads of all contain."""
+        """Apply the report of this router that the loads include."""
         self._peer_loads.apply_own_report(report)
 
     def apply_presence(self, presence: pb.Presence) -> None:
-        """Take the routers that callers may be sent to, or what changed."""
-        found = {}
+        """Apply the routers that callers may be sent to, or changes."""
+        routers = {}
         if presence.is_change:
-            found = {one.router: one for one in self._present}
+            routers = {
+                member.router: member for member in self._serving_routers
+            }
         for name in presence.removed:
-            found.pop(name, None)
-        found |= {one.router: one for one in presence.members}
-        self._present = list(found.values())
-        self._departing = list(presence.leaving)
+            routers.pop(name, None)
+        routers |= {member.router: member for member in presence.members}
+        self._serving_routers = list(routers.values())
+        self._draining_routers = list(presence.leaving)
 
     def apply_instances(self, instances: pb.Instances) -> None:
-        """Take a list of instances, if it is newer."""
+        """Apply a list of instances if it is newer."""
         if instances.number > self._instances.number:
             self._instances = instances
 
     def apply_evacuations(self, evacuations: pb.Evacuations) -> None:
-        """Take the failure domains whose instances get nothing new."""
-        found = frozenset(evacuations.domains)
-        if found != self._evacuated:
-            logs.emit(events.EVACUATIONS_APPLIED, domains=sorted(found))
-        self._evacuated = found
+        """Apply the set of evacuated failure domains."""
+        domains = frozenset(evacuations.domains)
+        if domains != self._evacuated:
+            logs.emit(events.EVACUATIONS_APPLIED, domains=sorted(domains))
+        self._evacuated = domains
+
+    def renew_lease(self, sent_at: float, lease_ms: int) -> None:
+        """Extend the lease, which counts from when the report was sent.
 
-    def renew_lease(self, sent: float, lease_ms: int) -> None:
-        """Take a lease that counts from the sending of the report.
+        The loads received are no older than that: the leader sends changes
+        along with its answer.
 
-        The leader's loads are as of then, too: it sends them with the
-        answer where they differ from those it sent before.
+        :param sent: when the report was sent, in loop time
         """
-        until = sent + lease_ms / 1000 * _DRIFT
-        self._heard_as_of = max(self._heard_as_of, sent)
-        self._lease_until = max(self._lease_until, until)
+        lease_until = sent_at + lease_ms / 1000 * _CLOCK_DRIFT_FACTOR
+        self._answered_report_sent_at = max(
+            self._answered_report_sent_at, sent_at
+        )
+        self._lease_until = max(self._lease_until, lease_until)
 
     def _lease_s(self) -> float:
         return self.timing.lease_ms / 1000
@@ -355,23 +370,23 @@
     def _is_evacuated(self, backend: str) -> bool:
         if not self._evacuated or self._bundle is None:
             return False
-        found = self._bundle.backends.get(backend)
-        return found is not None and found.domain in self._evacuated
+        settings = self._bundle.backends.get(backend)
+        return settings is not None and settings.domain in self._evacuated
 
-    def _choose_steward(self, backend: str) -> str:
-        best = hashing.rank(backend, self._candidates(backend), 1)
-        return best[0] if best else ''
+    def _choose_owner(self, backend: str) -> str:
+        ranked = hashing.rank(backend, self._candidates(backend), 1)
+        return ranked[0] if ranked else ''
 
     def _candidates(self, backend: str) -> list[str]:
-        """Return the routers that may steward a backend server."""
+        """Return the routers that may own a backend server."""
         if self._bundle is None or backend not in self._bundle.backends:
             return []
         domain = self._bundle.backends[backend].domain
-        return self._near.get(domain) or list(self._members)
+        return self._members_by_domain.get(domain) or list(self._members)
 
 
-def _moves_work(key: str) -> bool:
-    """Whether an entry says which backend servers there are."""
+def _affects_backends(key: str) -> bool:
+    """Whether an entry's key belongs to a backend server or a service."""
     return key.startswith(('backends/', 'services/'))
 
 
@@ -380,6 +395,6 @@
     for name, backend in bundle.backends.items():
         names[backend.service].append(name)
     return {
-        service: Pool(bundle.services[service], tuple(sorted(found)))
-        for service, found in names.items()
+        service: Pool(bundle.services[service], tuple(sorted(backends)))
+        for service, backends in names.items()
     }
