--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -38,13 +38,13 @@
     :ivar election_s: election timeout in seconds
     :ivar heartbeat_s: heartbeat interval in seconds
     :ivar snapshot_entries: applied entries between two snapshots
-    :ivar may_found: whether it may bootstrap the group with an empty disk
+    :ivar may_bootstrap: whether it may bootstrap the group with an empty disk
     """
 
     election_s: float = 0.6
     heartbeat_s: float = 0.12
     snapshot_entries: int = 2000
-    may_found: bool = True
+    may_bootstrap: bool = True
 
 
 class Replica:
@@ -168,7 +168,7 @@
         self._timer.start()
         try:
             is_new = not self._log.identity.founded and not self.admitted
-            if is_new and self._options.may_found:
+            if is_new and self._options.may_bootstrap:
                 await bootstrap.try_bootstrap(
                     self._name,
                     self._log,
@@ -253,10 +253,10 @@
                 )
                 return self._append_answer(False, max(0, last_index))
             await self._log.merge(request.entries)
-            matched = request.previous_index + len(request.entries)
-            await self._log.advance(min(request.commit, matched))
+            match_index = request.previous_index + len(request.entries)
+            await self._log.advance(min(request.commit, match_index))
             self._timer.record_leader_contact()
-            return self._append_answer(True, matched)
+            return self._append_answer(True, match_index)
 
     async def on_install(self, request: pb.InstallRequest) -> pb.AppendAnswer:
         """Handle a snapshot of a leader (section 5).
