--- a/src/honeyport/policy/__init__.py
+++ b/src/honeyport/policy/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet decides; no sockets and no tasks, time is passed in."""
+"""Decisions of the fleet as plain logic: no I/O, and time is a parameter."""
--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -1,85 +1,86 @@
-"""Whom a router asks where control is, and in which order.
+"""Order the addresses at which a router looks for the control leader.
 
-The load this answers: the settings of all instances name others at once,
-which have no control replica, and then whole groups of processes lose their
-streams. What a router learnt while it had one is the better address book, and
-whoever else has a stream knows where it leads.
+The settings of all instances may name instances that no longer run a control
+replica. Members that a leader confirmed are therefore tried before addresses
+that other instances named, and these before the settings.
 """
 
 import collections.abc
 
-# Addresses that others named and no leader confirmed; three replicas are
-# usual and six the most, so this holds two groups one after the other.
-_MOST_HEARD = 12
+# Addresses that no leader confirmed; two groups of the maximum size.
+_MAX_HINTS = 12
 
 
 class Contacts:
-    """The addresses that may lead to control.
+    """The addresses to ask for the control leader.
 
-    :param named: those of the settings: control replicas, or any instances
+    :param configured: the addresses in the settings, of control replicas or
+        other instances
     :param own: the control replica in the same process, or ``''``
     """
 
     def __init__(
-        self, named: collections.abc.Iterable[str], own: str = ''
+        self, configured: collections.abc.Iterable[str], own: str = ''
     ) -> None:
-        self._named = tuple(named)
+        self._configured = tuple(configured)
         self._own = (own,) if own else ()
         self._replicas: tuple[str, ...] = ()
-        self._heard: tuple[str, ...] = ()
-        self._leader = ''
-        self._turn = 0
+        self._hints: tuple[str, ...] = ()
+        self._leader_hint = ''
+        self._next_index = 0
 
     @property
     def replicas(self) -> tuple[str, ...]:
-        """The control replicas, as far as they are known."""
-        return _distinct(self._own, self._replicas, self._heard)
+        """The known control replicas, the most reliable ones first."""
+        return _distinct(self._own, self._replicas, self._hints)
 
     @property
     def has_leader_hint(self) -> bool:
-        """Whether somebody has just named the leader."""
-        return bool(self._leader)
+        """Whether a leader was named that was not asked yet."""
+        return bool(self._leader_hint)
 
-    def set_configured(self, named: collections.abc.Iterable[str]) -> None:
-        """Take the addresses of new settings.
-
-        What was learnt stays: settings may name instances that know less.
-        """
-        self._named = tuple(named)
+    def set_configured(
+        self, configured: collections.abc.Iterable[str]
+    ) -> None:
+        """Set the addresses in the settings; the learnt ones stay."""
+        self._configured = tuple(configured)
 
     def set_replicas(self, replicas: collections.abc.Iterable[str]) -> None:
-        """Take the members of the control group from their leader."""
+        """Set the members of the control group, as their leader named them."""
         self._replicas = tuple(replicas)
-        self._heard = ()
-        self._turn = 0
+        self._hints = ()
+        self._next_index = 0
 
     def add_hint(
         self, leader: str, replicas: collections.abc.Iterable[str]
     ) -> None:
-        """Take what another instance says; it may be out of date.
+        """Add addresses that another instance named; they may be outdated.
 
-        :param leader: whom to ask next, or ``''``
+        :param leader: the leader to ask next, or ``''``
         """
-        self._leader = leader or self._leader
-        found = _distinct(replicas, self._heard)
-        self._heard = found[:_MOST_HEARD]
+        self._leader_hint = leader or self._leader_hint
+        hints = _distinct(replicas, self._hints)
+        self._hints = hints[:_MAX_HINTS]
 
     def next_address(self) -> str:
-        """Return whom to ask now: the leader, if one was just named.
+        """Return the address to ask next: the leader, if one was just named.
 
-        Otherwise replicas come first in each round, and all others follow,
-        so that neither old settings nor old members end the search.
+        Otherwise cycles through all addresses, the replicas first, so that
+        neither outdated settings nor outdated members end the search.
         """
-        leader, self._leader = self._leader, ''
+        leader, self._leader_hint = self._leader_hint, ''
         if leader:
             return leader
-        known = _distinct(self.replicas, self._named)
-        address = known[self._turn % len(known)]
-        self._turn += 1
+        addresses = _distinct(self.replicas, self._configured)
+        address = addresses[self._next_index % len(addresses)]
+        self._next_index += 1
         return address
 
 
 def _distinct(
     *groups: collections.abc.Iterable[str],
 ) -> tuple[str, ...]:
-    return tuple(dict.fromkeys(one for group in groups for one in group))
+    """Return the addresses of all groups in order, without duplicates."""
+    return tuple(
+        dict.fromkeys(address for group in groups for address in group)
+    )
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -1,49 +1,51 @@
-"""How fast a leader sends what is large to hundreds of routers.
+"""Limit the rate at which a leader sends large messages to routers.
 
-The load this answers: all gateways come back at once, and each needs the list
-of 3,000 instances: 51 kB, 300 times. Sent at once, that fills a link of 100
-Mbit/s for 1.2 s; the leader's heartbeats wait behind it, its followers elect
-another one, and that one does the same: three leaders within 5 s, and no end.
+After a restart of all gateways, the leader has to send the list of instances
+to each of them. Without a limit these messages fill its link, its heartbeats
+are delayed, and the followers elect another leader.
 """
 
-# Of the link; the rest is for heartbeats, leases and callers.
-_SHARE = 0.5
-# How much may go out at once, in seconds of that share: two ticks of a leader.
-# A follower waits for a heartbeat for 0.6 s at least.
+# Share of the link; the rest is for heartbeats, leases and callers.
+_LINK_SHARE = 0.5
+# Capacity of the bucket, in seconds of that share; much shorter than the
+# election timeout of a follower.
 _BURST_S = 0.1
-_BITS = 8
+_BITS_PER_BYTE = 8
 
 
 class TokenBucket:
-    """What may still be sent now: a token bucket.
+    """A token bucket for messages, in bytes.
 
-    :param bytes_per_s: of the link
+    :param bytes_per_s: the bandwidth of the link
     """
 
     def __init__(self, bytes_per_s: float) -> None:
-        self._rate = bytes_per_s * _SHARE
-        self._most = self._rate * _BURST_S
-        self._left = self._most
-        self._at = float('-inf')
+        self._rate = bytes_per_s * _LINK_SHARE
+        self._capacity = self._rate * _BURST_S
+        self._tokens = self._capacity
+        self._refilled_at = float('-inf')
 
     def may_send(self, size: int, now: float) -> bool:
-        """Take a message out of what may be sent; return whether it fits.
+        """Spend the tokens for a message; return whether it may be sent.
 
-        One that is larger than all that may go out at once goes out when
-        nothing else did for a while.
+        A message that is larger than the bucket may be sent when the bucket
+        is full.
 
         :param size: in bytes
+        :param now: as loop time, in seconds
         """
-        if now > self._at:
-            earned = self._rate * (now - max(self._at, now - _BURST_S))
-            self._left = min(self._most, self._left + earned)
-            self._at = now
-        if size > self._left and self._left < self._most:
+        if now > self._refilled_at:
+            earned = self._rate * (
+                now - max(self._refilled_at, now - _BURST_S)
+            )
+            self._tokens = min(self._capacity, self._tokens + earned)
+            self._refilled_at = now
+        if size > self._tokens and self._tokens < self._capacity:
             return False
-        self._left -= size
+        self._tokens -= size
         return True
 
 
 def for_link(megabits_per_s: float) -> TokenBucket:
-    """Return the pace for a link."""
-    return TokenBucket(megabits_per_s * 1e6 / _BITS)
+    """Return a full token bucket for a link of this bandwidth."""
+    return TokenBucket(megabits_per_s * 1e6 / _BITS_PER_BYTE)
--- a/src/honeyport/policy/readings.py
+++ b/src/honeyport/policy/readings.py
@@ -1,9 +1,8 @@
-"""What one reading of the instance list changes.
+"""Merge a reading of the platform's instance list into the known instances.
 
-The load this answers: a list in which some entries cannot be used, or whose
-later pages cannot be read. Taken whole or not at all, one such entry among
-122 hides all others: instances that leave go on getting requests, and a new
-leader has no instance to name.
+A reading may contain entries that cannot be used, or lack later pages. It
+still updates the instances that it does contain, so that one invalid entry
+does not hide changes of all others.
 """
 
 import collections.abc
@@ -15,9 +14,9 @@
 
 @attrs.frozen(kw_only=True)
 class RefusedEntry:
-    """An entry of the list that names no instance to use.
+    """An entry of the list that cannot be used.
 
-    :ivar id: the instance that it speaks of, if that much can be read
+    :ivar id: the id of its instance, or ``''`` if that cannot be read
     """
 
     id: str = ''
@@ -26,13 +25,13 @@
 
 @attrs.frozen(kw_only=True)
 class Reading:
-    """What was read of the list.
+    """The result of reading the list.
 
-    :ivar instances: those that may be used, in the order of the list
-    :ivar refusals: the entries that were left out
-    :ivar missing: why the rest of the list could not be read, or ``''``
-    :ivar again_s: when whoever serves it wants to be asked again, in seconds;
-        0 if it does not say
+    :ivar instances: the usable instances, in the order of the list
+    :ivar refusals: the entries that cannot be used
+    :ivar missing: why a part of the list could not be read, or ``''``
+    :ivar retry_after_s: the delay that the server requested before the next
+        reading, in seconds; 0 if none
     """
 
     instances: collections.abc.Sequence[pb.Instance] = ()
@@ -44,44 +43,49 @@
 Instances = collections.abc.Iterable[pb.Instance]
 
 
-def merge(former: Instances, reading: Reading) -> list[pb.Instance]:
-    """Return the instances that are known after a reading, by id.
+def merge(known: Instances, reading: Reading) -> list[pb.Instance]:
+    """Return the known instances after a reading, sorted by id.
 
-    Where a part of the list could not be read, the instances that were known
-    before stay: nothing says that they are gone.
+    If a part of the list could not be read, instances that the rest does not
+    contain stay known.
     """
-    before = {one.id: one for one in former}
-    found: dict[str, pb.Instance] = {}
-    for one in reading.instances:
-        other = found.get(one.id)
-        found[one.id] = _agree(one, other, before) if other else one
+    known_by_id = {instance.id: instance for instance in known}
+    merged: dict[str, pb.Instance] = {}
+    for instance in reading.instances:
+        duplicate = merged.get(instance.id)
+        merged[instance.id] = (
+            _merge_duplicates(instance, duplicate, known_by_id)
+            if duplicate
+            else instance
+        )
     if reading.missing:
-        refused = {refusal.id for refusal in reading.refusals}
-        for name, one in before.items():
-            if name not in refused and name not in found:
-                found[name] = _copy(one)
-    return [found[name] for name in sorted(found)]
+        refused_ids = {refusal.id for refusal in reading.refusals}
+        for instance_id, instance in known_by_id.items():
+            if instance_id not in refused_ids and instance_id not in merged:
+                merged[instance_id] = _copy(instance)
+    return [merged[instance_id] for instance_id in sorted(merged)]
 
 
-def _agree(
-    one: pb.Instance, other: pb.Instance, before: dict[str, pb.Instance]
+def _merge_duplicates(
+    later: pb.Instance,
+    earlier: pb.Instance,
+    known_by_id: dict[str, pb.Instance],
 ) -> pb.Instance:
-    """Return what holds of an instance that is listed twice.
+    """Return the merged entries of an instance that is listed twice.
 
-    It leaves if one of the entries says so. Of two addresses the one that was
-    known before holds, else the first; an instance that is reached under a
-    wrong one turns the request away.
+    It is leaving if either entry says so. Keeps the entry with the address
+    that was known before, else the earlier one.
     """
-    known = before.get(one.id)
-    kept = other
-    if known is not None and one.address == known.address:
-        kept = one
+    known = known_by_id.get(later.id)
+    kept = earlier
+    if known is not None and later.address == known.address:
+        kept = later
     merged = _copy(kept)
-    merged.leaving = one.leaving or other.leaving
+    merged.leaving = later.leaving or earlier.leaving
     return merged
 
 
-def _copy(one: pb.Instance) -> pb.Instance:
+def _copy(instance: pb.Instance) -> pb.Instance:
     copied = pb.Instance()
-    copied.CopyFrom(one)
+    copied.CopyFrom(instance)
     return copied
--- a/src/honeyport/policy/retries.py
+++ b/src/honeyport/policy/retries.py
@@ -1,26 +1,28 @@
-"""A budget for retries, so that a failing service is not buried."""
+"""A local retry budget, so that retries do not overload a failing service."""
 
-_LARGEST = 20.0  # without a limit from outside: a failure of a few seconds
+_DEFAULT_MAX_RETRIES = 20.0
 
 
 class RetryBudget:
-    """Retries are a share of the requests, with a few to begin with.
+    """A token bucket of retries, which is filled by requests.
 
-    :param share: retries for each request
-    :param most: how many may be saved up; it begins with so many
+    :param share: retries that each request earns
+    :param max_retries: the capacity, which is also the initial number
     """
 
-    def __init__(self, share: float = 0.2, most: float = _LARGEST) -> None:
+    def __init__(
+        self, share: float = 0.2, max_retries: float = _DEFAULT_MAX_RETRIES
+    ) -> None:
         self._share = share
-        self._most = most
-        self._tokens = most
+        self._max_retries = max_retries
+        self._tokens = max_retries
 
     def record_request(self) -> None:
-        """Count a request."""
-        self._tokens = min(self._most, self._tokens + self._share)
+        """Count a request, which earns a share of a retry."""
+        self._tokens = min(self._max_retries, self._tokens + self._share)
 
     def try_spend(self) -> bool:
-        """Take one retry out; return whether there was one."""
+        """Spend a retry if one is left; return whether it may be sent."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/honeyport/policy/silence.py
+++ b/src/honeyport/policy/silence.py
@@ -1,30 +1,27 @@
-"""How long an instance may say nothing before a request goes elsewhere.
-
-The load this answers: an instance goes dark or its connections fall silent
-without a reset, and all it was given waits until its callers leave. Only a
-request that may run once more is taken away: any other one has its route's
-timeout. The limits lie above what is still of use to a caller in time, so
-that an instance that is slow keeps its work, and below the time after which
-callers leave (four times the objective, or eight times the pause between
-events).
+"""Idle timeouts after which a request is tried at another instance.
+
+They apply only to requests that may run once more; others have the timeout
+of their route. The limits are longer than an answer that is in time takes, so
+that a slow instance keeps its requests, and shorter than callers wait (four
+times the objective, or eight times the gap between events).
 """
 
 import attrs
 
 from honeyport.bundle import model
 
-# Of the objective, until the first byte of an answer. Callers leave at four
-# times the objective; what is left is enough for another instance.
-_FIRST_SHARE = 2.5
-# Of the pause between two events that a caller still counts as on time.
-_GAP_SHARE = 4.0
+# Timeout for the first byte, as a multiple of the route's objective; leaves
+# time for another instance.
+_FIRST_BYTE_MULTIPLE = 2.5
+# Timeout between two parts, as a multiple of the route's gap between events.
+_GAP_MULTIPLE = 4.0
 
 
 @attrs.frozen
 class Timeouts:
-    """Limits on silence, in seconds.
+    """The idle timeouts of an answer, in seconds.
 
-    :ivar first_s: until the first byte of an answer
+    :ivar first_byte_s: until its first byte
     :ivar gap_s: between two parts of it
     """
 
@@ -33,8 +30,8 @@
 
 
 def timeouts(route: model.Route) -> Timeouts:
-    """Return the limits for a request of a route."""
+    """Return the idle timeouts for the requests of a route."""
     return Timeouts(
-        first_byte_s=route.objective_ms / 1000 * _FIRST_SHARE,
-        gap_s=route.gap_ms / 1000 * _GAP_SHARE,
+        first_byte_s=route.objective_ms / 1000 * _FIRST_BYTE_MULTIPLE,
+        gap_s=route.gap_ms / 1000 * _GAP_MULTIPLE,
     )
