--- a/src/honeyport/control/group.py
+++ b/src/honeyport/control/group.py
@@ -9,7 +9,6 @@
 import attrs
 import grpc
 
-from honeyport.control import clearance
 from honeyport.control import introductions
 from honeyport.control import links
 from honeyport.control import membership
@@ -17,6 +16,7 @@
 from honeyport.control import replica
 from honeyport.control import sessions
 from honeyport.control import storage
+from honeyport.control import suspicion_service
 from honeyport.settings import roles
 from honeyport import supervisor
 from honeyport.telemetry import metrics
@@ -80,7 +80,9 @@
     server = channels.server()
     rpc.add_ReplicaServicer_to_server(links.ReplicaServicer(node), server)
     rpc.add_SessionServicer_to_server(routers, server)
-    clearance_servicer = clearance.SuspicionService(node, routers.suspects)
+    clearance_servicer = suspicion_service.SuspicionService(
+        node, routers.suspects
+    )
     rpc.add_SuspicionServicer_to_server(clearance_servicer, server)
     tree.on_stop('storage', _close_on_stop(store))
     counters.gauge('control_term', lambda: node.term)
