--- a/src/honeyport/bundle/files.py
+++ b/src/honeyport/bundle/files.py
@@ -9,7 +9,7 @@
 from honeyport import errors
 from honeyport.settings import document
 
-_NAME = re.compile(r'[a-z0-9][a-z0-9._-]{0,62}')
+_NAME_PATTERN = re.compile(r'[a-z0-9][a-z0-9._-]{0,62}')
 
 
 @attrs.frozen
@@ -44,7 +44,7 @@
     """Return the first violation of a rule across sections, if any."""
     for section in ('services', 'backends', 'models', 'accounts'):
         for name in getattr(bundle, section):
-            if not _NAME.fullmatch(name):
+            if not _NAME_PATTERN.fullmatch(name):
                 return Violation(f'{section}.{name}', 'a-z, 0-9, ., _ and -')
     for name, service in bundle.services.items():
         if service.kind == model.ENGINE and service.model not in bundle.models:
--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -24,15 +24,16 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# Pause between two readings, in seconds: below a third of the shortest notice
-# that a platform gives before an instance stops (3 s).
+# Pause between two readings, in seconds: a third of the shortest notice that
+# a platform gives before an instance stops (3 s).
 READ_INTERVAL_S = 0.9
 # Upper limit for a pause that the list's server asks for, in seconds: without
 # the list, requests still go to instances that are leaving.
 _MAX_RETRY_AFTER_S = 3.0
-# A list number is the leader's term, shifted by so many bits, plus a counter.
+# A list number is the leader's term, shifted by so many bits, plus a counter:
+# numbers ascend from one leader to the next.
 _TERM_SHIFT = 24
-_PERSIST_INTERVAL_S = 0.2
+_PERSIST_INTERVAL_S = 0.2  # between checks for uncommitted places
 # Two estimates of the end of a cold period that differ by less, in seconds,
 # are taken as equal: the platform's data may be that old.
 _COLD_END_TOLERANCE_S = 1.0
--- a/src/honeyport/control/claims.py
+++ b/src/honeyport/control/claims.py
@@ -49,7 +49,7 @@
         return len(self._claims)
 
     def holder(self, key: str) -> str:
-        """Return the holder of a key, or ``''`` if it is not claimed."""
+        """Return the holder of a key, or ``''`` if the key is not claimed."""
         claim = self._claims.get(key)
         return claim.holder if claim else ''
 
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -34,7 +34,9 @@
         report
     :ivar counted_report_number: the number of its report that is contained
         in the latest totals
+    :ivar residuals: the number of running requests, by backend server
     :ivar down: instances that it cannot reach
+    :ivar resting: instances that asked it to send nothing for a while
     :ivar silent: whether its stream ended, or its reports are overdue, while
         its lease is still valid
     :ivar replica: the address of the control replica on its instance, or
@@ -92,7 +94,7 @@
         self._lists = lists or instance_lists.InstanceLists()
         self._loads = loads.Loads(self._lists)
         self._known_domains: set[str] = set()
-        self._reach = reach.Exclusions()
+        self._exclusions = reach.Exclusions()
 
     @property
     def view(self) -> pb.View:
@@ -146,7 +148,7 @@
         }
 
     def is_alive(self, router: str, incarnation: str) -> bool:
-        """Whether this incarnation of a router holds a lease."""
+        """Whether an incarnation of a router has a lease."""
         session = self._routers.get(router)
         return (
             session is not None and session.member.incarnation == incarnation
@@ -320,7 +322,7 @@
         silent_domains = self._known_domains - {
             observation.domain for observation in observations
         }
-        return self._reach.update(
+        return self._exclusions.update(
             observations, self._lists.domains, silent_domains, now
         )
 
--- a/src/honeyport/control/orders.py
+++ b/src/honeyport/control/orders.py
@@ -26,8 +26,8 @@
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
 
-_TIMEOUT_S = 2.0
-_POLL_INTERVAL_S = 0.2
+_TIMEOUT_S = 2.0  # of one HTTP request to an engine
+_POLL_INTERVAL_S = 0.2  # between checks whether this replica leads
 _MAX_CONCURRENT_READS = 16
 
 
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -28,7 +28,7 @@
 from honeyport.wire import honeyport_pb2_grpc as rpc
 from honeyport.wire import outbox
 
-_TICK_S = 0.05
+_TICK_S = 0.05  # period of checks and of updates to the routers
 # A router's load is used for so many report periods.
 _MAX_REPORT_AGE_PERIODS = 3
 _State = pb.ClaimAnswer
@@ -41,7 +41,8 @@
     """One router's stream.
 
     :ivar hello: the router's first message
-    :ivar told: what went out on it, or was known before
+    :ivar sent_state: the state that was sent on it, or that the router had
+        before
     :ivar sent_loads_number: the number of the loads that were sent last
     :ivar loads_requested: whether a report is to be answered with loads
     """
@@ -56,6 +57,8 @@
 
 @attrs.frozen
 class _PendingClaim:
+    """A claim to commit, and the stream that it came on."""
+
     session: Session
     request: pb.ClaimRequest
 
@@ -81,12 +84,14 @@
         self._fleet = fleet.Fleet(0, 0.0)
         self._suspects = suspects.Suspects(
             node,
-            lambda router, run: self._fleet.is_alive(router, run),
+            lambda router, incarnation: self._fleet.is_alive(
+                router, incarnation
+            ),
             counters,
         )
         self._term = 0
         self._bundle: model.Bundle | None = None
-        self._timing_by_version = (0, model.Timing())
+        self._cached_timing = (0, model.Timing())
         self._pending_claims: outbox.Outbox[_PendingClaim] = outbox.Outbox()
         self._version_in_force = 0
         self._updates = self._make_updates()
@@ -162,7 +167,7 @@
                 self._tick()
 
     async def run_claims(self) -> None:
-        """Commit pending claims in batches, until cancelled."""
+        """Commit pending claims in batches until cancelled."""
         while True:
             pending = await self._pending_claims.take()
             attached = [
@@ -184,8 +189,8 @@
 
         :returns: whether it is committed and this replica still leads
         """
-        known = self._node.machine.routers.get(hello.router)
-        if not hello.peer_address or known == hello.peer_address:
+        committed_address = self._node.machine.routers.get(hello.router)
+        if not hello.peer_address or committed_address == hello.peer_address:
             return True
         put = {hello.router: hello.peer_address}
         try:
@@ -229,9 +234,9 @@
         self._sessions.clear()
 
     def _open(self, hello: pb.Hello) -> Session:
-        former = self._sessions.pop(hello.router, None)
-        if former is not None:
-            former.outbox.close()
+        previous_session = self._sessions.pop(hello.router, None)
+        if previous_session is not None:
+            previous_session.outbox.close()
         router = self._fleet.register(hello, _now(), self._lease_s())
         sent_state = self._updates.initial_state(hello)
         session = Session(router, outbox.Outbox(), hello, sent_state)
@@ -368,10 +373,10 @@
     def _timing(self) -> model.Timing:
         """Return periods and leases without parsing the whole bundle."""
         accepted = self._node.machine.accepted
-        if self._timing_by_version[0] != accepted.version:
+        if self._cached_timing[0] != accepted.version:
             timing = bundle_entries.timing(accepted.entries)
-            self._timing_by_version = (accepted.version, timing)
-        return self._timing_by_version[1]
+            self._cached_timing = (accepted.version, timing)
+        return self._cached_timing[1]
 
     def _lease_s(self) -> float:
         return self._timing().lease_ms / 1000
