--- a/bench/leader.py
+++ b/bench/leader.py
@@ -4,7 +4,7 @@
 import time
 
 from bench import registry
-from features.support import leading
+from features.support import leader_stub
 from honeyport.control import sessions
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
@@ -32,10 +32,12 @@
 async def _second_ms(count: int) -> float:
     """Return the processor milliseconds that a second takes."""
     streams = sessions.Sessions(
-        leading.LeaderStub(_ENTRIES), metrics.Metrics()
+        leader_stub.LeaderStub(_ENTRIES), metrics.Metrics()
     )
     streams._watch_leadership()
-    opened = [streams._open(leading.hello(number)) for number in range(count)]
+    opened = [
+        streams._open(leader_stub.hello(number)) for number in range(count)
+    ]
     await asyncio.sleep(0)
     spent = 0.0
     reports = int(count * _REPORTS_A_TICK)
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -5,7 +5,7 @@
 
 import behave
 
-from features.support import leading
+from features.support import leader_stub
 from features.support import simulation
 from honeyport.bundle import entries as bundle_entries
 from honeyport.bundle import model
@@ -38,7 +38,7 @@
 
     def hello(self):
         """Return its hello message."""
-        message = leading.hello(self.number)
+        message = leader_stub.hello(self.number)
         message.no_view = True
         instances = self.state.instances
         message.instances = instances.number
@@ -77,7 +77,7 @@
 
     def __init__(self, term=1):
         self.loop = simulation.VirtualLoop()
-        self.node = leading.LeaderStub()
+        self.node = leader_stub.LeaderStub()
         self.node.term = term
         self.instance_lists = instance_lists.InstanceLists()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
@@ -363,7 +363,8 @@
 @behave.then('each gateway has the list of the remaining gateways')
 def step_has_gateways(context):
     expected = {
-        leading.hello(gateway.number).router for gateway in context.gateways
+        leader_stub.hello(gateway.number).router
+        for gateway in context.gateways
     }
     for gateway in context.gateways:
         routers = {member.router for member in gateway.state.serving_routers}
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from features.support import leading
+from features.support import leader_stub
 from honeyport.control import journal
 from honeyport.control import sessions
 from honeyport.telemetry import metrics
@@ -32,7 +32,7 @@
     """A leader with router streams, without a network."""
 
     def __init__(self, count):
-        self.node = leading.LeaderStub()
+        self.node = leader_stub.LeaderStub()
         self.streams = sessions.Sessions(self.node, metrics.Metrics())
         self.streams._watch_leadership()
         self.sessions = []
@@ -41,7 +41,7 @@
 
     def attach(self, number):
         """Open the stream of another router."""
-        session = self.streams._open(leading.hello(number))
+        session = self.streams._open(leader_stub.hello(number))
         self.sessions.append(session)
 
     def tick(self):
