--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -1,8 +1,8 @@
-"""What a router knows of requests under which instances ended.
+"""Tracking of requests under which instances crashed.
 
-It tells the leader of each end that it sees, takes from it which requests are
-held back in the whole fleet, and asks it before it sends one of these. The
-decisions are in :mod:`honeyport.policy.suspicion`.
+A router reports each crash that it detects to the leader, receives the list of
+suspect requests of the whole fleet, and gets a permit from the leader before
+it sends one of them. The decisions are in :mod:`honeyport.policy.suspicion`.
 """
 
 import asyncio
@@ -18,31 +18,28 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# For the leader's answer whether a request may run, in seconds: a round trip
-# between regions (0.15), and two of the leader's ticks (0.05). Without an
-# answer the request is refused, since others may be running it.
-_ANSWER_S = 0.5
-# When a request may come back that nobody gave an answer on, in seconds:
-# about when there is a leader again.
-_COME_BACK_S = 1.0
-# Ends that are told to each new leader, and requests in them. It has lost
-# what the last one knew of requests under one end.
-_MOST_ENDS = 64
-_MOST_OWN = 2048
-# Requests that ran to their end lately: what clears one that others suspect.
-# At the busiest gateway (30 requests a second) those of half a minute; they
-# take 0.26 MB.
-_MOST_SERVED = 1024
-# Messages that wait for a stream to a leader.
-_MOST_UNSENT = 64
-
-WhenOver = collections.abc.Callable[[collections.abc.Callable[[], None]], None]
+# After it the request is refused, since another router may be running it.
+_PERMIT_TIMEOUT_S = 0.5
+_RETRY_AFTER_S = 1.0  # after a refusal without an answer of the leader
+# Crashes that are reported again to each new leader, and the requests in them.
+_MAX_REPORTED_ENDS = 64
+_MAX_LOCAL_SUSPECTS = 2048
+_MAX_SUCCESSES = 1024  # requests that were answered successfully
+_MAX_UNSENT_ITEMS = 64  # messages kept while no stream to a leader is open
+
+CallWhenFinished = collections.abc.Callable[
+    [collections.abc.Callable[[], None]], None
+]
 Send = collections.abc.Callable[[pb.RouterItem], bool]
 
 
 @attrs.frozen
 class _End:
-    """An instance that ended, when that was seen, and what ran there."""
+    """The crash of an instance.
+
+    :ivar at: when it was detected, in loop time
+    :ivar requests: the fingerprints of the requests that ran there
+    """
 
     instance: str
     at: float
@@ -50,209 +47,232 @@
 
 
 class SuspectTracker:
-    """The requests that this router holds back, and why."""
+    """The suspect requests that this router knows of."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._metrics = counters
         self._send: Send = lambda item: False
-        self._known: dict[str, suspicion.Suspect] = {}
+        self._fleet_suspects: dict[str, suspicion.Suspect] = {}
         self._ends: collections.deque[_End] = collections.deque(
-            maxlen=_MOST_ENDS
+            maxlen=_MAX_REPORTED_ENDS
         )
-        self._own: collections.OrderedDict[str, int] = (
+        self._local_end_counts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._served: collections.OrderedDict[str, float] = (
+        self._succeeded_at: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
-        self._unsent: collections.deque[pb.RouterItem] = collections.deque(
-            maxlen=_MOST_UNSENT
+        self._unsent_items: collections.deque[pb.RouterItem] = (
+            collections.deque(maxlen=_MAX_UNSENT_ITEMS)
         )
-        self._numbers = itertools.count(1)
-        self._asked: dict[int, asyncio.Future[pb.PermitAnswer]] = {}
+        self._permit_numbers = itertools.count(1)
+        self._pending_permits: dict[int, asyncio.Future[pb.PermitAnswer]] = {}
         counters.gauge('suspects_known', lambda: self.count)
 
     @property
     def count(self) -> int:
-        """How many requests are held back in the whole fleet."""
-        return len(self._known)
+        """The number of suspect requests in the whole fleet."""
+        return len(self._fleet_suspects)
 
     def set_sender(self, send: Send) -> None:
-        """Take what sends an item to the leader, if there is a stream."""
+        """Set the function that sends an item to the leader.
+
+        :param send: returns whether a stream to the leader is open
+        """
         self._send = send
 
-    # -- what whoever serves requests asks -------------------------------
+    # -- called while requests are served --------------------------------
 
     @contextlib.asynccontextmanager
     async def admit(
-        self, request: str, when_over: WhenOver
+        self, request: str, call_when_finished: CallWhenFinished
     ) -> collections.abc.AsyncIterator[None]:
-        """Let a request run, alone in the fleet if it is under suspicion.
+        """Enter a context to run a request; a suspect needs a permit.
+
+        The leader gives one permit for a request at a time.
 
         :param request: its fingerprint
-        :param when_over: calls a function once it is known how it ended
-        :raises errors.RequestBarred: if too many instances ended under it
-        :raises errors.RequestHeld: if it may not run now
+        :param when_over: calls a function once it is known whether the
+            instance survived the request
+        :raises errors.RequestBarred: if too many instances crashed under it
+        :raises errors.RequestHeld: if no permit was given
         """
-        is_held = await self._enter(request)
+        has_permit = await self._acquire_permit(request)
         try:
             yield
         finally:
-            if is_held:
-                when_over(lambda: self._leave(request))
-
-    async def _enter(self, request: str) -> bool:
-        """Return once a request may be sent, and if the leader let it in."""
-        known = self._known.get(request)
-        own = self._own.get(request, 0)
-        if known is None and own < suspicion.PERMIT_MIN_ENDS:
+            if has_permit:
+                call_when_finished(lambda: self._release_permit(request))
+
+    async def _acquire_permit(self, request: str) -> bool:
+        """Get a permit if a request needs one; return whether it did."""
+        suspect = self._fleet_suspects.get(request)
+        local_ends = self._local_end_counts.get(request, 0)
+        if suspect is None and local_ends < suspicion.PERMIT_MIN_ENDS:
             return False
         try:
-            if known is not None and known.is_barred(_now()):
-                raise _barred(known.barred_until - _now())
-            await self._ask(request)
+            if suspect is not None and suspect.is_barred(_now()):
+                raise _barred_error(suspect.barred_until - _now())
+            await self._request_permit(request)
         except errors.HoneyportError as error:
             self._metrics.count('suspects_refused', code=error.code)
             raise
         return True
 
-    def _leave(self, request: str) -> None:
-        """Note that a request that the leader let in does not run here."""
-        self._tell(
+    def _release_permit(self, request: str) -> None:
+        """Give a request's permit back to the leader."""
+        self._send_or_queue(
             pb.RouterItem(
                 release=pb.PermitRelease(request=bytes.fromhex(request))
             )
         )
 
     def record_success(self, request: str) -> None:
-        """Note that a request ran to a whole and good answer."""
-        self._served[request] = _now()
-        self._served.move_to_end(request)
-        if len(self._served) > _MOST_SERVED:
-            self._served.popitem(last=False)
-        if request in self._known or request in self._own:
-            self._acquit([request])
+        """Record that a request got a complete and successful answer."""
+        self._succeeded_at[request] = _now()
+        self._succeeded_at.move_to_end(request)
+        if len(self._succeeded_at) > _MAX_SUCCESSES:
+            self._succeeded_at.popitem(last=False)
+        if (
+            request in self._fleet_suspects
+            or request in self._local_end_counts
+        ):
+            self._clear([request])
 
     def record_end(self, instance: str, requests: frozenset[str]) -> None:
-        """Note that an instance ended while requests ran there."""
+        """Record that an instance crashed while requests ran there."""
         end = _End(instance, _now(), requests)
         self._ends.append(end)
         for request in requests:
-            if not suspicion.is_cleared(self._served.get(request), end.at):
-                self._own[request] = self._own.get(request, 0) + 1
-                self._own.move_to_end(request)
-        while len(self._own) > _MOST_OWN:
-            self._own.popitem(last=False)
+            if not suspicion.is_cleared(
+                self._succeeded_at.get(request), end.at
+            ):
+                self._local_end_counts[request] = (
+                    self._local_end_counts.get(request, 0) + 1
+                )
+                self._local_end_counts.move_to_end(request)
+        while len(self._local_end_counts) > _MAX_LOCAL_SUSPECTS:
+            self._local_end_counts.popitem(last=False)
         self._send(pb.RouterItem(ends=pb.Ends(ends=[_to_message(end)])))
 
-    # -- what the stream to the leader brings ----------------------------
+    # -- called by the session with the leader ---------------------------
 
     def initial_items(self) -> list[pb.RouterItem]:
-        """Return what each new leader is told first."""
-        items = list(self._unsent)
-        self._unsent.clear()
+        """Return the items to send first on a new stream to a leader."""
+        items = list(self._unsent_items)
+        self._unsent_items.clear()
         if self._ends:
-            ends = [_to_message(one) for one in self._ends]
+            ends = [_to_message(end) for end in self._ends]
             items.insert(0, pb.RouterItem(ends=pb.Ends(ends=ends)))
         return items
 
     def apply(self, message: pb.Suspects) -> None:
-        """Take the requests that are held back in the whole fleet."""
+        """Replace the list of suspect requests of the whole fleet."""
         now = _now()
-        self._known = {
-            one.request.hex(): _to_suspect(one, now)
-            for one in message.suspects
+        self._fleet_suspects = {
+            listed.request.hex(): _to_suspect(listed, now)
+            for listed in message.suspects
         }
-        self._acquit(
+        self._clear(
             [
                 request
-                for request, known in self._known.items()
+                for request, suspect in self._fleet_suspects.items()
                 if suspicion.is_cleared(
-                    self._served.get(request), known.first_end_at
+                    self._succeeded_at.get(request), suspect.first_end_at
                 )
             ]
         )
 
     def resolve_permit(self, answer: pb.PermitAnswer) -> None:
-        """Take the leader's word on a request that it was asked about."""
-        future = self._asked.get(answer.id)
+        """Apply the leader's answer to a request for a permit."""
+        future = self._pending_permits.get(answer.id)
         if future is not None and not future.done():
             future.set_result(answer)
 
-    async def _ask(self, request: str) -> None:
-        """Have the leader let a request in.
+    async def _request_permit(self, request: str) -> None:
+        """Get a permit for a request from the leader.
 
-        :raises errors.HoneyportError: if it does not
+        :raises errors.RequestBarred: if too many instances crashed under it
+        :raises errors.RequestHeld: if no permit was given
         """
-        number = next(self._numbers)
+        number = next(self._permit_numbers)
         future = asyncio.get_running_loop().create_future()
-        self._asked[number] = future
-        ask = pb.PermitRequest(id=number, request=bytes.fromhex(request))
+        self._pending_permits[number] = future
+        permit_request = pb.PermitRequest(
+            id=number, request=bytes.fromhex(request)
+        )
         granted = False
         try:
-            if not self._send(pb.RouterItem(permit=ask)):
+            if not self._send(pb.RouterItem(permit=permit_request)):
                 raise errors.RequestHeld(
-                    'no leader to ask', retry_after=_COME_BACK_S
+                    'no stream to a leader is open', retry_after=_RETRY_AFTER_S
                 )
-            answer = await asyncio.wait_for(future, _ANSWER_S)
+            answer = await asyncio.wait_for(future, _PERMIT_TIMEOUT_S)
             if not answer.granted:
-                raise _refused(answer)
+                raise _refusal_error(answer)
             granted = True
         except TimeoutError:
             raise errors.RequestHeld(
-                'no answer of the leader', retry_after=_COME_BACK_S
+                'the leader did not answer in time', retry_after=_RETRY_AFTER_S
             ) from None
         finally:
-            del self._asked[number]
+            del self._pending_permits[number]
             if not granted:
-                self._leave(request)  # it may have been let in meanwhile
+                # The leader may have granted it with an answer that was late.
+                self._release_permit(request)
 
-    def _acquit(self, requests: list[str]) -> None:
-        """Tell the leader that requests are harmless."""
+    def _clear(self, requests: list[str]) -> None:
+        """Drop requests and report to the leader that they are harmless."""
         if not requests:
             return
         for request in requests:
-            self._known.pop(request, None)
-            self._own.pop(request, None)
-        named = [bytes.fromhex(request) for request in requests]
-        self._tell(pb.RouterItem(acquittal=pb.Acquittal(requests=named)))
+            self._fleet_suspects.pop(request, None)
+            self._local_end_counts.pop(request, None)
+        fingerprints = [bytes.fromhex(request) for request in requests]
+        self._send_or_queue(
+            pb.RouterItem(acquittal=pb.Acquittal(requests=fingerprints))
+        )
 
-    def _tell(self, item: pb.RouterItem) -> None:
+    def _send_or_queue(self, item: pb.RouterItem) -> None:
         if not self._send(item):
-            self._unsent.append(item)
+            self._unsent_items.append(item)
 
 
 def _to_message(end: _End) -> pb.InstanceEnd:
     return pb.InstanceEnd(
         backend=end.instance,
-        requests=[bytes.fromhex(one) for one in sorted(end.requests)],
+        requests=[bytes.fromhex(request) for request in sorted(end.requests)],
         age_ms=max(0, int((_now() - end.at) * 1000)),
     )
 
 
-def _to_suspect(told: pb.Suspect, now: float) -> suspicion.Suspect:
+def _to_suspect(message: pb.Suspect, now: float) -> suspicion.Suspect:
     until = float('-inf')
-    if told.barred:
-        until = now + told.back_ms / 1000 if told.back_ms else float('inf')
+    if message.barred:
+        until = (
+            now + message.back_ms / 1000 if message.back_ms else float('inf')
+        )
     return suspicion.Suspect(
-        request=told.request.hex(),
-        ends=told.ends,
-        first_end_at=now - told.since_ms / 1000,
+        request=message.request.hex(),
+        ends=message.ends,
+        first_end_at=now - message.since_ms / 1000,
         barred_until=until,
     )
 
 
-def _refused(answer: pb.PermitAnswer) -> errors.HoneyportError:
-    back_s = answer.back_ms / 1000 if answer.back_ms else float('inf')
+def _refusal_error(answer: pb.PermitAnswer) -> errors.HoneyportError:
+    retry_after_s = answer.back_ms / 1000 if answer.back_ms else float('inf')
     if answer.barred:
-        return _barred(back_s)
-    return errors.RequestHeld('another copy of it runs', retry_after=back_s)
+        return _barred_error(retry_after_s)
+    return errors.RequestHeld(
+        'another copy of this request is running', retry_after=retry_after_s
+    )
 
 
-def _barred(back_s: float) -> errors.RequestBarred:
-    retry_after = None if back_s == float('inf') else back_s
+def _barred_error(retry_after_s: float) -> errors.RequestBarred:
+    retry_after = None if retry_after_s == float('inf') else retry_after_s
     return errors.RequestBarred(
-        'instances ended each time this request ran; it is not run',
+        'refused: several instances crashed while this request ran',
         retry_after=retry_after,
     )
 
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -1,9 +1,8 @@
-"""Whether an instance ended under the requests that broke there.
+"""Detection of instances that crashed while requests ran there.
 
-A broken connection alone says little: it may have been reset on its way, or
-its answer lost, while the instance is well. What tells an end is that nothing
-listens at the instance's address right after, or that the platform's list
-drops it though it was not leaving.
+A broken connection alone is no proof: it may have been reset by the network.
+An instance counts as crashed if its address refuses connections right after,
+or if the platform's list no longer contains it though it was not leaving.
 """
 
 import asyncio
@@ -16,212 +15,223 @@
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 
-# When an instance is asked for a connection after a request broke there, in
-# seconds. A process that ends closes its connections over some 10 ms, and
-# takes new ones meanwhile; it is back no sooner than after a second.
-_PROBES_S = (0.05, 0.4)
-# For how long a request that broke without such a sign may still be under an
-# end, in seconds. The platform's list drops an instance 5 s after its end.
-_DOUBT_S = 15.0
-# The same where connections are taken: something in front of an instance may
-# take them for it. Only the list tells then, and no later than this.
-_LISTED_S = 6.0
-# Requests that are kept for an instance: what 20 slow ones of 50 slots break.
-_MOST_KEPT = 1000
-# Fingerprints in one log line.
-_MOST_LOGGED = 20
-
-# What shows that an instance ended, in the log.
-CONNECTION_REFUSED = 'nothing listens there'
-ADDRESS_REUSED = 'another instance is there'
-_UNLISTED = 'the list names it no longer'
+# Times of the probes after a connection broke, in seconds. A process that ends
+# may accept connections for a moment, and may be running again soon after.
+_PROBE_TIMES_S = (0.05, 0.4)
+# For how long a broken request counts as affected by a later crash.
+_CRASH_WINDOW_S = 15.0
+# The same if the probes succeeded. A proxy may have accepted them for a
+# crashed instance, in which case only the platform's list shows the crash.
+_DELISTING_WINDOW_S = 6.0
+_MAX_BROKEN_REQUESTS = 1000  # requests
+_MAX_LOGGED_FINGERPRINTS = 20  # fingerprints in one log line
+
+# Evidence of a crash, as it is logged.
+CONNECTION_REFUSED = 'connection refused'
+ADDRESS_REUSED = 'another instance has the address'
+_UNLISTED = 'no longer listed by the platform'
 
 OnEnd = collections.abc.Callable[[str, frozenset[str]], None]
 
 
 class Instance(typing.Protocol):
-    """What runs requests: an instance, or a backend server of a bundle."""
+    """An instance, or a backend server of a bundle."""
 
     @property
     def id(self) -> str:
-        """Its name."""
+        """The name that identifies it."""
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address that it listens on."""
 
 
 Probe = collections.abc.Callable[[typing.Any], collections.abc.Awaitable[None]]
 
 
 @attrs.define
-class _Doubt:
-    """Requests that broke on an instance, by fingerprint, and when.
+class _BrokenRequests:
+    """The broken requests of one instance.
 
-    :ivar lived: those after which the instance took connections
+    :ivar broken_at: when they broke, by fingerprint, in loop time
+    :ivar survived_at: the same for requests after which all probes succeeded
+    :ivar task: the probes that are running
     """
 
     instance: Instance
-    broke: dict[str, float] = attrs.field(factory=dict)
-    lived: dict[str, float] = attrs.field(factory=dict)
+    broken_at: dict[str, float] = attrs.field(factory=dict)
+    survived_at: dict[str, float] = attrs.field(factory=dict)
     task: asyncio.Task[None] | None = None
 
 
 class EndDetector:
-    """Watches instances on which requests of this process broke.
+    """Detects crashes of instances on which requests of this process broke.
 
     :param probe: connects to an instance; raises
-        :class:`errors.ConnectionRefused` if nothing listens there, and
-        :class:`errors.NotSent` if that fails otherwise
-    :param on_end: called with an instance and the requests under its end
+        :class:`errors.ConnectionRefused` if the connection was refused, and
+        :class:`errors.NotSent` if it failed otherwise
+    :param on_end: called with the name of a crashed instance and the
+        fingerprints of the requests that broke there
     """
 
     def __init__(self, probe: Probe, on_end: OnEnd) -> None:
         self._connect = probe
         self._on_end = on_end
-        self._doubts: dict[str, _Doubt] = {}
+        self._broken_requests: dict[str, _BrokenRequests] = {}
         self._listed: set[str] = set()
         self._leaving: set[str] = set()
 
     def record_broken(self, instance: Instance, fingerprint: str) -> None:
-        """Note that a request's connection broke; find out why."""
-        doubt = self._note(instance, fingerprint)
-        if doubt.task is None:
-            doubt.task = asyncio.create_task(self._probe(doubt))
+        """Record that a request's connection broke; probe the instance."""
+        record = self._add_broken(instance, fingerprint)
+        if record.task is None:
+            record.task = asyncio.create_task(self._probe(record))
 
     def record_timeout(self, instance: Instance, fingerprint: str) -> None:
-        """Note that a request got no answer in time.
+        """Record that a request got no answer in time.
 
-        Instances that are slow do that often; none is probed for it.
+        Slow instances cause this as well, so that no probe follows.
         """
-        self._note(instance, fingerprint)
+        self._add_broken(instance, fingerprint)
 
     def record_gone(self, instance: str, sign: str) -> None:
-        """Note that an instance is no longer at its address.
+        """Record that an instance is no longer at its address.
 
-        :param sign: what shows it, for the log
+        :param sign: the evidence, for the log
         """
-        doubt = self._doubts.pop(instance, None)
-        if doubt is not None:
-            self._end(doubt, sign)
+        record = self._broken_requests.pop(instance, None)
+        if record is not None:
+            self._report_end(record, sign)
 
     def apply_listing(self, listed: set[str], leaving: set[str]) -> None:
-        """Take the platform's list; who was on it and is not has ended.
+        """Apply the platform's list; an instance removed from it has ended.
 
-        :param leaving: those that leave in an orderly way
+        :param listed: the names of all instances
+        :param leaving: the names of those that are shutting down gracefully
         """
         for name in self._listed - listed:
             self.record_gone(name, _UNLISTED)
-        # One that just left the list in an orderly way may still be about to
-        # close its connections.
-        left = self._leaving & (self._listed - listed)
+        # An instance that left the list after a graceful shutdown may still
+        # have connections to close.
+        just_removed = self._leaving & (self._listed - listed)
         self._listed = listed
-        self._leaving = leaving | left
-        self._forget_old()
+        self._leaving = leaving | just_removed
+        self._remove_expired()
 
     def mark_leaving(self, instance: str) -> None:
-        """Take it that an instance leaves in an orderly way."""
+        """Record that an instance is shutting down gracefully."""
         self._leaving.add(instance)
 
     async def wait_probed(self, instance: str) -> None:
-        """Return once an instance is not being probed."""
-        doubt = self._doubts.get(instance)
-        if doubt is not None and doubt.task is not None:
-            await asyncio.wait([doubt.task])
+        """Wait until an instance is not being probed."""
+        record = self._broken_requests.get(instance)
+        if record is not None and record.task is not None:
+            await asyncio.wait([record.task])
 
     def call_when_probed(
-        self, instance: str, call: collections.abc.Callable[[], None]
+        self, instance: str, callback: collections.abc.Callable[[], None]
     ) -> None:
-        """Call a function once an instance is not being probed."""
-        doubt = self._doubts.get(instance)
-        if doubt is None or doubt.task is None:
-            call()
+        """Call a function once an instance is not being probed.
+
+        :param call: called at once if no probes are running
+        """
+        record = self._broken_requests.get(instance)
+        if record is None or record.task is None:
+            callback()
         else:
-            doubt.task.add_done_callback(lambda _: call())
+            record.task.add_done_callback(lambda _: callback())
 
     def close(self) -> None:
-        """End all probes."""
-        for doubt in self._doubts.values():
-            if doubt.task is not None:
-                doubt.task.cancel()
-
-    def _note(self, instance: Instance, fingerprint: str) -> _Doubt:
+        """Cancel all probes."""
+        for record in self._broken_requests.values():
+            if record.task is not None:
+                record.task.cancel()
+
+    def _add_broken(
+        self, instance: Instance, fingerprint: str
+    ) -> _BrokenRequests:
         now = asyncio.get_running_loop().time()
-        doubt = self._doubts.setdefault(instance.id, _Doubt(instance))
-        doubt.broke.pop(fingerprint, None)  # the oldest stay first
-        doubt.broke[fingerprint] = now
-        if len(doubt.broke) > _MOST_KEPT:
-            del doubt.broke[next(iter(doubt.broke))]
-        return doubt
-
-    def _forget_old(self) -> None:
-        """Forget what broke too long ago to be under an end."""
-        for name, doubt in list(self._doubts.items()):
-            kept = _since(doubt.broke, _DOUBT_S) | _since(
-                doubt.lived, _DOUBT_S
-            )
-            if not kept and doubt.task is None:
-                del self._doubts[name]
-
-    async def _probe(self, doubt: _Doubt) -> None:
-        name = doubt.instance.id
-        answered = True
-        waited_s = 0.0
-        for at_s in _PROBES_S:
-            await asyncio.sleep(at_s - waited_s)
-            waited_s = at_s
+        record = self._broken_requests.setdefault(
+            instance.id, _BrokenRequests(instance)
+        )
+        record.broken_at.pop(fingerprint, None)  # keeps the oldest first
+        record.broken_at[fingerprint] = now
+        if len(record.broken_at) > _MAX_BROKEN_REQUESTS:
+            del record.broken_at[next(iter(record.broken_at))]
+        return record
+
+    def _remove_expired(self) -> None:
+        """Remove the records of requests that broke too long ago."""
+        for name, record in list(self._broken_requests.items()):
+            recent = _broken_within(
+                record.broken_at, _CRASH_WINDOW_S
+            ) | _broken_within(record.survived_at, _CRASH_WINDOW_S)
+            if not recent and record.task is None:
+                del self._broken_requests[name]
+
+    async def _probe(self, record: _BrokenRequests) -> None:
+        name = record.instance.id
+        all_accepted = True
+        elapsed_s = 0.0
+        for probe_time_s in _PROBE_TIMES_S:
+            await asyncio.sleep(probe_time_s - elapsed_s)
+            elapsed_s = probe_time_s
             try:
-                await self._connect(doubt.instance)
+                await self._connect(record.instance)
             except errors.ConnectionRefused:
                 self.record_gone(name, CONNECTION_REFUSED)
                 return
             except errors.NotSent:
-                answered = False
-        doubt.task = None
-        if answered:
-            self._live(doubt)
-
-    def _live(self, doubt: _Doubt) -> None:
-        doubt.lived = doubt.broke
-        doubt.broke = {}
+                all_accepted = False
+        record.task = None
+        if all_accepted:
+            self._record_alive(record)
+
+    def _record_alive(self, record: _BrokenRequests) -> None:
+        record.survived_at = record.broken_at
+        record.broken_at = {}
         logs.emit(
             events.INSTANCE_LIVES,
-            backend=doubt.instance.id,
-            address=doubt.instance.address,
-            **_to_fields(set(doubt.lived)),
+            backend=record.instance.id,
+            address=record.instance.address,
+            **_to_fields(set(record.survived_at)),
         )
 
-    def _end(self, doubt: _Doubt, sign: str) -> None:
-        """Report an end, unless it was due."""
-        under = _since(doubt.broke, _DOUBT_S)
+    def _report_end(self, record: _BrokenRequests, sign: str) -> None:
+        """Report the end of an instance as a crash unless it was leaving."""
+        affected = _broken_within(record.broken_at, _CRASH_WINDOW_S)
         if sign == _UNLISTED:
-            under |= _since(doubt.lived, _LISTED_S)
-        if not under:
+            affected |= _broken_within(record.survived_at, _DELISTING_WINDOW_S)
+        if not affected:
             return
-        is_leaving = doubt.instance.id in self._leaving
+        is_leaving = record.instance.id in self._leaving
         logs.emit(
             events.INSTANCE_ENDED,
-            backend=doubt.instance.id,
-            address=doubt.instance.address,
+            backend=record.instance.id,
+            address=record.instance.address,
             sign=sign,
             leaving=is_leaving,
-            **_to_fields(under),
+            **_to_fields(affected),
         )
         if not is_leaving:
-            self._on_end(doubt.instance.id, frozenset(under))
+            self._on_end(record.instance.id, frozenset(affected))
 
 
-def _since(broke: dict[str, float], seconds: float) -> set[str]:
-    """Return the requests that broke within the last seconds."""
-    oldest = asyncio.get_running_loop().time() - seconds
-    return {one for one, at in broke.items() if at > oldest}
+def _broken_within(broken_at: dict[str, float], window_s: float) -> set[str]:
+    """Return the requests that broke within a window before now."""
+    cutoff = asyncio.get_running_loop().time() - window_s
+    return {
+        request
+        for request, broken_at_s in broken_at.items()
+        if broken_at_s > cutoff
+    }
 
 
 def _to_fields(
     fingerprints: collections.abc.Set[str],
 ) -> dict[str, object]:
-    """Return the fields of a log line that name requests."""
+    """Return the log fields for a set of requests."""
     return {
         'requests': len(fingerprints),
-        'fingerprints': sorted(fingerprints)[:_MOST_LOGGED],
+        'fingerprints': sorted(fingerprints)[:_MAX_LOGGED_FINGERPRINTS],
     }
