--- a/features/policy/addresses.feature
+++ b/features/policy/addresses.feature
@@ -1,19 +1,19 @@
-Feature: Callers keep an address list for as long as that serves them
+Feature: The content and the lifetime of the address lists of callers
 
-  Scenario: a part of the gateways is cut off for a while
+  Scenario: some gateways are cut off for a while
     Given 10 gateways and 100 callers that send 2 requests a second each
     When 4 gateways are dead from second 5 to second 17
-    Then callers wait at least a tenth less than with lists that live 1 s
+    Then callers wait at least 10% less than with a list lifetime of 1 s
 
-  Scenario: gateways are restarted one after the other
+  Scenario: a rolling restart of the gateways
     Given 10 gateways and 100 callers that send 2 requests a second each
-    When every 2 seconds one leaves and is back 7 seconds later
-    Then callers are refused at most half as often as with lists that live 5 s
+    When every 2 seconds a gateway leaves and returns 7 seconds later
+    Then callers are refused at most half as often as with a list lifetime of 5 s
 
-  Scenario Outline: callers are sent to gateways near by
-    Given gateways in thu-duc twice, tan-binh once, son-tra once
-    And thu-duc and tan-binh are in hcm, son-tra in danang
-    Then a caller from <domain> is sent to <gateways>
+  Scenario Outline: callers get the gateways of their domain or region
+    Given 2 gateways in thu-duc, 1 in tan-binh and 1 in son-tra
+    And thu-duc and tan-binh are in region hcm, son-tra in region danang
+    Then a caller from <domain> gets the addresses <gateways>
 
     Examples:
       | domain     | gateways                               |
@@ -22,8 +22,8 @@
       | son-tra    | son-tra-1                              |
       | binh-chanh | son-tra-1, tan-binh-1, thu-duc-1, thu-duc-2 |
 
-  Scenario: a list is short while gateways leave, and long after that
-    Given a gateway leaves in an orderly way at second 10
-    Then a list of second 9 is kept for 5 s
-    And a list of second 12 is kept for 1 s
-    And a list of second 30 is kept for 5 s
+  Scenario: lists have a short lifetime while gateways drain
+    Given a gateway that starts to drain at second 10
+    Then a list that is sent at second 9 has a lifetime of 5 s
+    And a list that is sent at second 12 has a lifetime of 1 s
+    And a list that is sent at second 30 has a lifetime of 5 s
--- a/features/policy/draining.feature
+++ b/features/policy/draining.feature
@@ -1,12 +1,12 @@
-Feature: What a gateway takes on while it leaves also ends
+Feature: A gateway that shuts down finishes the requests that it accepted
 
-  Scenario Outline: what is sent 3 s after the signal is not taken on
+  Scenario Outline: requests that come 3 s after the signal are refused
     Given <grace> s from SIGTERM to SIGKILL
-    Then a request that comes 3 s after a signal handled 0.4 s late is refused
-    And what runs has <most> s to end, and 1 s is left to exit
+    Then a request 3 s after a signal that was handled 0.4 s late is refused
+    And running requests have <limit> s to end, and 1 s is left to exit
 
     Examples:
-      | grace | most |
-      | 8     | 7    |
-      | 30    | 29   |
-      | 2     | 1    |
+      | grace | limit |
+      | 8     | 7     |
+      | 30    | 29    |
+      | 2     | 1     |
--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the lifetime of address lists."""
+"""Steps about the content and the lifetime of address lists."""
 
 import behave
 
@@ -28,27 +28,30 @@
 
 
 @behave.when(
-    'every {gap:d} seconds one leaves and is back {away:d} seconds later'
+    'every {interval_s:d} seconds a gateway leaves and returns {away_s:d} '
+    'seconds later'
 )
-def step_roll(context, gap, away):
+def step_rolling_restart(context, interval_s, away_s):
     for number, gateway in enumerate(context.gateways):
-        left = 3.0 + number * gap
-        gateway.leaving = (left, left + away)
+        left_at = 3.0 + number * interval_s
+        gateway.leaving = (left_at, left_at + away_s)
 
 
 def play(context, lifetime):
-    """Play the load with lists that live as a function says."""
+    """Simulate the load with list lifetimes from a function of the time."""
     return callers.play(
         context.gateways, context.count, context.per_s, lifetime, _LENGTH_S
     )
 
 
-def by_policy(context):
-    """Return the lifetime that the policy gives to a list."""
+def policy_lifetime(context):
+    """Return the policy's list lifetime as a function of the time."""
     policy = addresses.ListLifetime()
 
     def lifetime(now):
-        leaving = [one for one in context.gateways if one.is_leaving(now)]
+        leaving = [
+            gateway for gateway in context.gateways if gateway.is_leaving(now)
+        ]
         policy.record_leaving(leaving, now)
         return policy.lifetime_s(now)
 
@@ -56,51 +59,57 @@
 
 
 @behave.then(
-    'callers wait at least a tenth less than with lists that live {fixed:d} s'
+    'callers wait at least 10% less than with a list lifetime of {fixed_s:d} s'
 )
-def step_waits(context, fixed):
-    ours = play(context, by_policy(context)).waited_s
-    other = play(context, lambda now: float(fixed)).waited_s
-    assert ours <= 0.9 * other, (ours, other)
+def step_waits(context, fixed_s):
+    waited_s = play(context, policy_lifetime(context)).waited_s
+    fixed_waited_s = play(context, lambda now: float(fixed_s)).waited_s
+    assert waited_s <= 0.9 * fixed_waited_s, (waited_s, fixed_waited_s)
 
 
 @behave.then(
-    'callers are refused at most half as often as with lists that live '
-    '{fixed:d} s'
+    'callers are refused at most half as often as with a list lifetime of '
+    '{fixed_s:d} s'
 )
-def step_refused(context, fixed):
-    ours = play(context, by_policy(context)).refused
-    other = play(context, lambda now: float(fixed)).refused
-    assert ours <= other / 2, (ours, other)
+def step_refused(context, fixed_s):
+    refused = play(context, policy_lifetime(context)).refused
+    fixed_refused = play(context, lambda now: float(fixed_s)).refused
+    assert refused <= fixed_refused / 2, (refused, fixed_refused)
 
 
-@behave.given('a gateway leaves in an orderly way at second {at:d}')
-def step_leaves(context, at):
-    context.left = float(at)
+@behave.given('a gateway that starts to drain at second {at:d}')
+def step_drains(context, at):
+    context.draining_at = float(at)
 
 
-@behave.then('a list of second {at:d} is kept for {seconds:d} s')
-def step_kept_for(context, at, seconds):
+@behave.then(
+    'a list that is sent at second {at:d} has a lifetime of {lifetime_s:d} s'
+)
+def step_lifetime(context, at, lifetime_s):
     policy = addresses.ListLifetime()
-    if at >= context.left:
-        policy.record_leaving(['gateway'], context.left)
-    assert policy.lifetime_s(float(at)) == seconds
+    if at >= context.draining_at:
+        policy.record_leaving(['gateway'], context.draining_at)
+    assert policy.lifetime_s(float(at)) == lifetime_s
 
 
-@behave.given('gateways in thu-duc twice, tan-binh once, son-tra once')
+@behave.given('2 gateways in thu-duc, 1 in tan-binh and 1 in son-tra')
 def step_gateways(context):
     counts = {'thu-duc': 2, 'tan-binh': 1, 'son-tra': 1}
     context.members = [
         pb.Member(
-            router=f'{domain}-{one}', domain=domain, address=f'{domain}-{one}'
+            router=f'{domain}-{number}',
+            domain=domain,
+            address=f'{domain}-{number}',
         )
         for domain, count in counts.items()
-        for one in range(1, count + 1)
+        for number in range(1, count + 1)
     ]
 
 
-@behave.given('thu-duc and tan-binh are in hcm, son-tra in danang')
-def step_in_regions(context):
+@behave.given(
+    'thu-duc and tan-binh are in region hcm, son-tra in region danang'
+)
+def step_regions(context):
     context.regions = {
         'thu-duc': 'hcm',
         'tan-binh': 'hcm',
@@ -108,7 +117,7 @@
     }
 
 
-@behave.then('a caller from {domain} is sent to {gateways}')
-def step_sent(context, domain, gateways):
-    found = addresses.choose(context.members, domain, context.regions)
-    assert found == gateways.split(', '), found
+@behave.then('a caller from {domain} gets the addresses {gateways}')
+def step_selected(context, domain, gateways):
+    selected = addresses.choose(context.members, domain, context.regions)
+    assert selected == gateways.split(', '), selected
--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the rest that instances ask for."""
+"""Steps about the backoffs that instances request."""
 
 import email.utils
 import time
@@ -8,7 +8,7 @@
 from honeyport.policy import rests
 from honeyport.policy import retry_after
 
-_NAME = 'i-1'
+_INSTANCE = 'i-1'
 _DATE_S = 5.0
 _DATES = {'(a date in 5 s)': _DATE_S, '(a date 5 s ago)': -_DATE_S}
 _MANY = 1000
@@ -19,130 +19,134 @@
 def step_header(context, text):
     if text in _DATES:
         text = email.utils.formatdate(time.time() + _DATES[text], usegmt=True)
-    context.asked_s = retry_after.parse_s(text)
+    context.requested_s = retry_after.parse_s(text)
 
 
 @behave.when('an instance answers 503 with Retry-After ""')
 def step_no_header(context):
-    context.asked_s = retry_after.parse_s('')
+    context.requested_s = retry_after.parse_s('')
 
 
-@behave.then('it asks for nothing')
-def step_nothing(context):
-    assert context.asked_s is None, context.asked_s
+@behave.then('it requests a backoff of nothing')
+def step_no_backoff(context):
+    assert context.requested_s is None, context.requested_s
 
 
-@behave.then('it asks for {seconds:g} s')
-def step_asks(context, seconds):
-    rest = rests.Backoffs().request(_NAME, context.asked_s, 0.0)
-    assert rest.granted_s == seconds, rest
+@behave.then('it requests a backoff of {seconds:g} s')
+def step_backoff(context, seconds):
+    backoff = rests.Backoffs().request(_INSTANCE, context.requested_s, 0.0)
+    assert backoff.granted_s == seconds, backoff
 
 
-@behave.then('it asks for about {seconds:d} s')
+@behave.then('it requests a backoff of about {seconds:d} s')
 def step_about(context, seconds):
-    # A date has whole seconds.
-    assert seconds - 1.1 < context.asked_s <= seconds, context.asked_s
+    # Dates have a resolution of one second.
+    assert seconds - 1.1 < context.requested_s <= seconds, context.requested_s
 
 
-@behave.given('an instance that asked for {seconds:d} s of rest')
-def step_asked(context, seconds):
-    context.rests = rests.Backoffs()
+@behave.given('an instance that requested a backoff of {seconds:d} s')
+def step_requested(context, seconds):
+    context.backoffs = rests.Backoffs()
     context.now = 0.0
-    context.rests.request(_NAME, float(seconds), context.now)
+    context.backoffs.request(_INSTANCE, float(seconds), context.now)
 
 
 @behave.when('1 s later it answers a request that was sent before')
 def step_late_answer(context):
-    context.rests.record_answer(_NAME, 1.0)
+    context.backoffs.record_answer(_INSTANCE, 1.0)
 
 
-@behave.when('1 s later it asks for {seconds:d} s of rest')
-def step_asks_again(context, seconds):
-    rest = context.rests.request(_NAME, float(seconds), 1.0)
-    assert not rest.is_new
+@behave.when('1 s later it requests a backoff of {seconds:d} s')
+def step_requests_again(context, seconds):
+    backoff = context.backoffs.request(_INSTANCE, float(seconds), 1.0)
+    assert not backoff.is_new
 
 
-@behave.when('1 s later it turns a request away and asks for nothing')
-def step_turns_away(context):
+@behave.when('1 s later it rejects a request without Retry-After')
+def step_rejects(context):
     assert retry_after.parse_s('') is None
 
 
-@behave.when('1 s later a new list of instances names it')
+@behave.when('1 s later a new list of instances contains it')
 def step_listed(context):
-    context.rests.retain({_NAME, 'i-2'})
+    context.backoffs.retain({_INSTANCE, 'i-2'})
 
 
-@behave.when('1 s later a new list of instances does not name it')
+@behave.when('1 s later a new list of instances does not contain it')
 def step_unlisted(context):
-    context.rests.retain({'i-2'})
+    context.backoffs.retain({'i-2'})
 
 
 @behave.then(
-    'it is left alone until {ends:g} s after it asked, and {more:g} s more at '
-    'most'
+    'it gets no requests until {ends:g} s after the first one, plus up to '
+    '{jitter:g} s'
 )
-def step_until(context, ends, more):
-    until = context.rests.remaining_s(_NAME, 1.0) + 1.0
-    assert ends <= until <= ends + more, until
-    assert not context.rests.may_send(_NAME, 0, until - _STEP_S)
-    assert context.rests.may_send(_NAME, 0, until + _STEP_S)
+def step_until(context, ends, jitter):
+    until = context.backoffs.remaining_s(_INSTANCE, 1.0) + 1.0
+    assert ends <= until <= ends + jitter, until
+    assert not context.backoffs.may_send(_INSTANCE, 0, until - _STEP_S)
+    assert context.backoffs.may_send(_INSTANCE, 0, until + _STEP_S)
 
 
-@behave.then('nothing is known of it')
-def step_forgotten(context):
-    assert context.rests.remaining_s(_NAME, 1.0) == 0.0
-    assert context.rests.may_send(_NAME, _MANY, 1.0)
+@behave.then('it has no backoff')
+def step_dropped(context):
+    assert context.backoffs.remaining_s(_INSTANCE, 1.0) == 0.0
+    assert context.backoffs.may_send(_INSTANCE, _MANY, 1.0)
 
 
 @behave.given(
-    '{count:d} gateways that one instance asked for {seconds:d} s of rest at '
-    'one moment'
+    '{count:d} gateways from which an instance requests {seconds:d} s of '
+    'backoff at once'
 )
 def step_gateways(context, count, seconds):
-    context.asked_s = float(seconds)
-    all_rests = [rests.Backoffs() for _ in range(count)]
-    for one in all_rests:
-        one.request(_NAME, context.asked_s, 0.0)
-    context.ends = sorted(one.remaining_s(_NAME, 0.0) for one in all_rests)
+    context.requested_s = float(seconds)
+    by_gateway = [rests.Backoffs() for _ in range(count)]
+    for backoffs in by_gateway:
+        backoffs.request(_INSTANCE, context.requested_s, 0.0)
+    context.ends = sorted(
+        backoffs.remaining_s(_INSTANCE, 0.0) for backoffs in by_gateway
+    )
 
 
-@behave.then('none of them comes back before that')
+@behave.then('none of them resumes earlier')
 def step_not_before(context):
-    assert context.ends[0] >= context.asked_s, context.ends[0]
+    assert context.ends[0] >= context.requested_s, context.ends[0]
 
 
-@behave.then('not more than {most:d} of them come back within {ms:d} ms')
-def step_spread(context, most, ms):
+@behave.then('at most {limit:d} of them resume within {ms:d} ms')
+def step_spread(context, limit, ms):
     counts = [
         sum(first <= end < first + ms / 1000 for end in context.ends)
         for first in context.ends
     ]
-    assert max(counts) <= most, max(counts)
+    assert max(counts) <= limit, max(counts)
 
 
-@behave.when('its rest is over')
+@behave.when('its backoff is over')
 def step_over(context):
-    context.now = context.rests.remaining_s(_NAME, context.now) + _STEP_S
+    context.now = (
+        context.backoffs.remaining_s(_INSTANCE, context.now) + _STEP_S
+    )
 
 
-@behave.then('{count:d} request may run there at once')
-@behave.then('{count:d} requests may run there at once')
+@behave.then('{count:d} concurrent request is allowed')
+@behave.then('{count:d} concurrent requests are allowed')
 def step_running(context, count):
-    assert context.rests.may_send(_NAME, count - 1, context.now)
-    assert not context.rests.may_send(_NAME, count, context.now)
+    assert context.backoffs.may_send(_INSTANCE, count - 1, context.now)
+    assert not context.backoffs.may_send(_INSTANCE, count, context.now)
 
 
-@behave.when('it answers')
+@behave.when('it answers once')
 def step_answers(context):
-    context.rests.record_answer(_NAME, context.now)
+    context.backoffs.record_answer(_INSTANCE, context.now)
 
 
-@behave.when('it answers {count:d} times')
-def step_answers_often(context, count):
+@behave.when('it answers {count:d} more times')
+def step_answers_more(context, count):
     for _ in range(count):
-        context.rests.record_answer(_NAME, context.now)
+        context.backoffs.record_answer(_INSTANCE, context.now)
 
 
-@behave.then('any number of requests may run there')
-def step_any(context):
-    assert context.rests.may_send(_NAME, _MANY, context.now)
+@behave.then('any number of concurrent requests is allowed')
+def step_unlimited(context):
+    assert context.backoffs.may_send(_INSTANCE, _MANY, context.now)
--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the pace of large messages."""
+"""Steps about the rate limit for large messages."""
 
 import behave
 
@@ -9,7 +9,7 @@
 
 @behave.given('a link of {speed:d} Mbit/s')
 def step_link(context, speed):
-    context.pace = pacing.for_link(speed)
+    context.bucket = pacing.for_link(speed)
 
 
 @behave.when('{count:d} messages of {size:d} bytes wait to be sent')
@@ -17,18 +17,18 @@
     context.sent = []
     now = 100.0
     while len(context.sent) < count:
-        while len(context.sent) < count and context.pace.may_send(size, now):
+        while len(context.sent) < count and context.bucket.may_send(size, now):
             context.sent.append((now - 100.0, size))
         now += _TICK_S
 
 
-@behave.then('no second has more than {most:g} MB of them')
-def step_most(context, most):
-    for first, _ in context.sent:
-        within = [
-            size for at, size in context.sent if first <= at < first + 1.0
+@behave.then('at most {limit:g} MB of them are sent within any second')
+def step_limit(context, limit):
+    for start, _ in context.sent:
+        sizes = [
+            size for at, size in context.sent if start <= at < start + 1.0
         ]
-        assert sum(within) <= most * 1e6, (first, sum(within))
+        assert sum(sizes) <= limit * 1e6, (start, sum(sizes))
 
 
 @behave.then('all are sent within {seconds:g} seconds')
