--- a/src/honeyport/router/edge.py
+++ b/src/honeyport/router/edge.py
@@ -1,6 +1,6 @@
-"""What all handlers for callers share: headers in, answers out.
+"""The base of the HTTP handlers for callers.
 
-Each way of calling is a module with a handler under :func:`register`.
+Each API is a module with a handler that is registered by :func:`register`.
 """
 
 import asyncio
@@ -35,23 +35,23 @@
 KEY = 'Idempotency-Key'
 LAST_EVENT = 'Last-Event-ID'
 
-_BUFFERED = 1024 * 1024
-# Between the error event and the cut: some clients, tornado's among them,
-# drop what arrives together with the end of the connection.
-_LAST_WORD_S = 0.05
-# After the deadline: a queue that gives up at the deadline still has to give
-# the claim back and say "not run", which is the better answer.
-_GRACE_S = 0.5
+_MAX_BUFFERED_BYTES = 1024 * 1024  # before a body is streamed
+# Between the error event and the end of the connection: some clients, among
+# them tornado's, drop data that arrives together with the end.
+_ERROR_EVENT_DELAY_S = 0.05
+# After the deadline: time to release the claim of a request that was not run
+# and to report that.
+_DEADLINE_GRACE_S = 0.5
 _EVENT_STREAM = 'text/event-stream'
 
 _ROUTES: list[tuple[str, type['Handler']]] = []
 
-H = typing.TypeVar('H', bound='type[Handler]')
+HandlerType = typing.TypeVar('HandlerType', bound='type[Handler]')
 
 
 @attrs.frozen(kw_only=True)
 class Services:
-    """What handlers work with."""
+    """The parts of the router that the handlers use."""
 
     name: str
     state: fleetstate.FleetState
@@ -63,27 +63,27 @@
 
 
 class Gate:
-    """Counts the requests in flight, and shuts when this router leaves."""
+    """Counts the requests in flight; refuses new ones during shutdown."""
 
     def __init__(self) -> None:
         self._running = 0
-        self._shut = False
+        self._is_closed = False
         self._idle = asyncio.Event()
         self._idle.set()
 
     @property
     def running(self) -> int:
-        """Requests of callers in flight."""
+        """The number of callers' requests in flight."""
         return self._running
 
     @property
     def is_closed(self) -> bool:
         """Whether new requests are refused."""
-        return self._shut
+        return self._is_closed
 
     def close(self) -> None:
-        """Refuse new requests from now on."""
-        self._shut = True
+        """Refuse all new requests."""
+        self._is_closed = True
 
     async def wait_idle(self) -> None:
         """Wait for the requests in flight to end."""
@@ -91,11 +91,11 @@
 
     @contextlib.contextmanager
     def enter(self) -> typing.Iterator[None]:
-        """Count a request while it runs.
+        """Enter a context that counts a request.
 
-        :raises errors.Draining: once shut
+        :raises errors.Draining: if the gate is closed
         """
-        if self._shut:
+        if self._is_closed:
             raise errors.Draining(retry_after=0.1)
         self._running += 1
         self._idle.clear()
@@ -107,10 +107,13 @@
                 self._idle.set()
 
 
-def register(pattern: str) -> typing.Callable[[H], H]:
-    """Enter a handler for a path."""
+def register(pattern: str) -> typing.Callable[[HandlerType], HandlerType]:
+    """Return a decorator that registers a handler.
 
-    def decorate(handler: H) -> H:
+    :param pattern: a regular expression for the path
+    """
+
+    def decorate(handler: HandlerType) -> HandlerType:
         _ROUTES.append((pattern, handler))
         return handler
 
@@ -118,7 +121,7 @@
 
 
 def routes(services: Services) -> list[typing.Any]:
-    """Return the routes of all registered handlers."""
+    """Return the tornado routes of all registered handlers."""
     return [
         (pattern, handler, {'services': services})
         for pattern, handler in _ROUTES
@@ -126,25 +129,25 @@
 
 
 class Handler(web.RequestHandler):
-    """Base of the handlers for callers."""
+    """Base class of the handlers for callers."""
 
     def initialize(self, services: Services) -> None:
         self._services = services
         self._task: asyncio.Task[typing.Any] | None = None
-        self._streaming = False
+        self._is_streaming = False
 
     def on_connection_close(self) -> None:
         if self._task is not None:
             self._task.cancel()
 
     def header(self, name: str, default: str = '') -> str:
-        """Return a header of the request."""
+        """Return a header of the request, or a default."""
         return self.request.headers.get(name, default)
 
     def number(self, name: str, default: float) -> float:
-        """Return a header that is a number.
+        """Return a numeric header of the request, or a default.
 
-        :raises errors.BadRequest: if it is none
+        :raises errors.BadRequest: if it is not a number
         """
         text = self.header(name)
         if not text:
@@ -154,23 +157,24 @@
         except ValueError:
             raise errors.BadRequest(f'{name}: expected a number') from None
 
-    async def serve(self, make: typing.Callable[[], exchange.Call]) -> None:
-        """Run the request's call and write its answer.
+    async def serve(self, build: typing.Callable[[], exchange.Call]) -> None:
+        """Run the request's call and write its answer or error.
 
-        :param make: builds the call, or raises
+        :param build: builds the call; may raise
+            :class:`errors.HoneyportError`
         """
         self._task = asyncio.current_task()
         services = self._services
-        started = clock.now()
+        started_at = clock.now()
         try:
             with services.gate.enter():
-                call = self._checked(make())
+                call = self._validate(build())
                 services.counters.count('requests', service=call.service)
                 with services.tracer.span(
                     'entry', call.parent, request=call.request_id
                 ) as parent:
                     call = attrs.evolve(call, parent=parent)
-                    await self._run(call, started)
+                    await self._write_until_deadline(call, started_at)
         except errors.HoneyportError as error:
             await self._write_error(error)
         except (iostream.StreamClosedError, asyncio.CancelledError):
@@ -178,12 +182,16 @@
         except Exception as error:
             logs.emit(events.REQUEST_FAILED, error=repr(error), exc_info=True)
             await self._write_error(errors.HoneyportError())
-        services.counters.observe('request_seconds', clock.now() - started)
+        services.counters.observe('request_seconds', clock.now() - started_at)
 
     def call(
         self, service: str, path: str, chat: str, headers: exchange.Headers
     ) -> exchange.Call:
-        """Return the call that the request's headers describe."""
+        """Build a call from the request and its headers.
+
+        :param chat: the key by which backend servers are ranked
+        :param headers: those to send to the backend server
+        """
         loop = asyncio.get_running_loop()
         limits = self._services.state.bundle.limits
         deadline_s = self.number(DEADLINE, limits.deadline_s)
@@ -207,15 +215,20 @@
             linger=bool(self.header(LINGER)),
         )
 
-    async def _run(self, call: exchange.Call, started: float) -> None:
-        """Write the call's answer, until its deadline."""
+    async def _write_until_deadline(
+        self, call: exchange.Call, started_at: float
+    ) -> None:
+        """Write the call's answer.
+
+        :raises errors.DeadlinePassed: if the call's deadline passed
+        """
         try:
-            async with asyncio.timeout_at(call.deadline + _GRACE_S):
-                await self._write_answer(self._answer(call), started)
+            async with asyncio.timeout_at(call.deadline + _DEADLINE_GRACE_S):
+                await self._write_answer(self._answer(call), started_at)
         except TimeoutError:
             raise errors.DeadlinePassed() from None
 
-    def _checked(self, call: exchange.Call) -> exchange.Call:
+    def _validate(self, call: exchange.Call) -> exchange.Call:
         state = self._services.state
         state.check_lease()
         accounts = state.bundle.accounts
@@ -230,10 +243,12 @@
         send = self._services.dispatcher.answer
         if call.repeatable:
             return send(call, hint)
-        return self._services.guard.answer(call, lambda c: send(c, hint))
+        return self._services.guard.answer(
+            call, lambda claimed_call: send(claimed_call, hint)
+        )
 
     async def _write_answer(
-        self, answer: exchange.Answer, started: float
+        self, answer: exchange.Answer, started_at: float
     ) -> None:
         body = bytearray()
         async with contextlib.aclosing(answer):
@@ -242,23 +257,23 @@
                     self._write_head(frame)
                 elif isinstance(frame, exchange.End):
                     self._write_end(frame, body)
-                elif self._streaming:
+                elif self._is_streaming:
                     if frame.number == 1:
-                        self._observe_first(started)
+                        self._observe_first_token(started_at)
                     self.write(frame.payload)
                     await self.flush()
                 else:
                     body += frame.payload
-                    if len(body) > _BUFFERED:
-                        self._streaming = True
+                    if len(body) > _MAX_BUFFERED_BYTES:
+                        self._is_streaming = True
                         self.write(bytes(body))
                         body.clear()
                         await self.flush()
         await self.finish()
 
-    def _observe_first(self, started: float) -> None:
+    def _observe_first_token(self, started_at: float) -> None:
         self._services.counters.observe(
-            'first_token_seconds', clock.now() - started
+            'first_token_seconds', clock.now() - started_at
         )
 
     def _write_head(self, head: exchange.Head) -> None:
@@ -266,24 +281,27 @@
         for name, value in head.headers:
             self.set_header(name, value)
             if name.lower() == 'content-type':
-                self._streaming = value.startswith(_EVENT_STREAM)
+                self._is_streaming = value.startswith(_EVENT_STREAM)
         self.set_header('Honeyport-Router', self._services.name)
         self.set_header(PLACEMENT, head.backend)
         if head.recorded:
             self.set_header('Honeyport-Recorded', 'true')
 
     def _write_end(self, end: exchange.End, body: bytearray) -> None:
-        if not self._streaming:
+        if not self._is_streaming:
             self.write(bytes(body))
         elif self._is_event_stream():
             self.write(f': whole bytes={end.length}\n\n')
 
     def _is_event_stream(self) -> bool:
-        kind = self._headers.get('Content-Type', '')
-        return kind.startswith(_EVENT_STREAM)
+        content_type = self._headers.get('Content-Type', '')
+        return content_type.startswith(_EVENT_STREAM)
 
     async def _write_error(self, error: errors.HoneyportError) -> None:
-        """Write a typed error; after a started answer, cut it visibly."""
+        """Write an error response, or an error event in a started stream.
+
+        A started answer is cut by closing the connection.
+        """
         logs.emit(
             events.REQUEST_FAILED,
             code=error.code,
@@ -307,5 +325,5 @@
                 text = json.dumps({'error': body})
                 self.write(f'event: error\ndata: {text}\n\n')
                 await self.flush()
-                await asyncio.sleep(_LAST_WORD_S)
+                await asyncio.sleep(_ERROR_EVENT_DELAY_S)
         self.request.connection.stream.close()
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -315,7 +315,7 @@
 
         :raises errors.ListUnusable: if they refer to another list of instances
         """
-        self._peer_loads.take(loads, self._instances)
+        self._peer_loads.apply(loads, self._instances)
         self._converged_view = loads.settled
         self._converged_version = loads.settled_version
         self._down = frozenset(loads.down)
--- a/src/honeyport/router/relay.py
+++ b/src/honeyport/router/relay.py
@@ -1,9 +1,9 @@
-"""The hop between routers: one multiplexed stream for each pair.
+"""Links between routers: one multiplexed gRPC stream for each pair.
 
-Frames of many answers that are ready within a few milliseconds travel in
-one message. Every stream has a number of its own, so frames of an earlier
-attempt find nobody and are dropped. A side that reads slowly holds back
-the sender: no more than a window of bytes is under way to it.
+Frames that are ready within a few milliseconds are sent in one message. Each
+answer has its own stream number, so that late frames of a cancelled attempt
+are dropped. Flow control is by credit: the sender stops once a window of
+payload bytes is not acknowledged by the receiver.
 """
 
 import asyncio
@@ -26,43 +26,46 @@
 from honeyport.wire import outbox
 
 _COALESCE_S = 0.003
-_WINDOW = 256 * 1024
-_CREDIT_STEP = 64 * 1024
-_CONNECT_S = 1.0
+_WINDOW_BYTES = 256 * 1024
+_CREDIT_STEP_BYTES = 64 * 1024  # received between two credit frames
+_CONNECT_TIMEOUT_S = 1.0
 
 Serve = typing.Callable[[exchange.Call, str], exchange.Answer]
 Box = outbox.Outbox[pb.Frame]
 
 
 @attrs.define
-class _Stream:
-    """The opener's end of one answer."""
+class _ClientStream:
+    """The client side of one answer.
 
-    arrived: asyncio.Queue[pb.Frame | None] = attrs.field(
-        factory=asyncio.Queue
-    )
-    taken: int = 0
-    credited: int = 0
+    :ivar inbox: received frames; ``None`` after the link was lost
+    :ivar received_bytes: payload bytes received
+    :ivar credited_bytes: payload bytes acknowledged to the peer
+    """
+
+    inbox: asyncio.Queue[pb.Frame | None] = attrs.field(factory=asyncio.Queue)
+    received_bytes: int = 0
+    credited_bytes: int = 0
 
 
 class PeerLink:
-    """The stream to one peer, opened when it is first used."""
+    """The client side of the stream to one peer, opened at its first use."""
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._channel = channels.connect(address)
-        self._numbers = itertools.count(1)
-        self._streams: dict[int, _Stream] = {}
+        self._stream_numbers = itertools.count(1)
+        self._streams: dict[int, _ClientStream] = {}
         self._box: Box | None = None
         self._reader: asyncio.Task[None] | None = None
 
     @property
     def address(self) -> str:
-        """Where the peer listens."""
+        """The peer's address."""
         return self._address
 
     async def close(self) -> None:
-        """End the stream; answers under way fail."""
+        """Close the stream; unfinished answers fail."""
         if self._reader is not None:
             self._reader.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -72,58 +75,65 @@
     async def answer(
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
-        """Have the peer run a call; yield its answer's frames.
+        """Send a call to the peer and yield its answer's frames.
 
         :raises errors.NotSent: if the peer cannot be reached
-        :raises errors.PeerLost: if it went away; the call may have run
+        :raises errors.PeerLost: if the stream ended; the call may have run
+        :raises errors.AnswerCut: if a frame is missing
         """
         box = await self._open()
-        number = next(self._numbers)
-        stream = _Stream()
+        number = next(self._stream_numbers)
+        stream = _ClientStream()
         self._streams[number] = stream
         box.put(
             pb.Frame(stream=number, open=frames.encode_call(call, backend))
         )
-        ended = False
+        is_ended = False
         try:
-            expected = 1
-            while not ended:
-                frame = await self._next(stream)
-                ended = isinstance(frame, exchange.End)
+            expected_number = 1
+            while not is_ended:
+                frame = await self._next_frame(stream)
+                is_ended = isinstance(frame, exchange.End)
                 if isinstance(frame, exchange.Data):
-                    if frame.number != expected:
+                    if frame.number != expected_number:
                         raise errors.AnswerCut('a frame is missing')
-                    expected += 1
-                    self._credit(box, number, stream, frame)
+                    expected_number += 1
+                    self._send_credit(box, number, stream, frame)
                 yield frame
         except errors.HoneyportError:
-            ended = True
+            is_ended = True
             raise
         finally:
             self._streams.pop(number, None)
-            if not ended:
+            if not is_ended:
                 box.put(pb.Frame(stream=number, cancel=pb.Cancel()))
 
-    async def _next(self, stream: _Stream) -> exchange.Frame:
-        message = await stream.arrived.get()
+    async def _next_frame(self, stream: _ClientStream) -> exchange.Frame:
+        message = await stream.inbox.get()
         if message is None:
-            raise errors.PeerLost(f'{self._address} went away')
+            raise errors.PeerLost(f'the stream to {self._address} ended')
         return frames.decode_frame(message)
 
-    def _credit(
-        self, box: Box, number: int, stream: _Stream, frame: exchange.Data
+    def _send_credit(
+        self,
+        box: Box,
+        number: int,
+        stream: _ClientStream,
+        frame: exchange.Data,
     ) -> None:
-        stream.taken += len(frame.payload)
-        if stream.taken - stream.credited >= _CREDIT_STEP:
-            stream.credited = stream.taken
-            credit = pb.Credit(length=stream.taken)
+        stream.received_bytes += len(frame.payload)
+        if stream.received_bytes - stream.credited_bytes >= _CREDIT_STEP_BYTES:
+            stream.credited_bytes = stream.received_bytes
+            credit = pb.Credit(length=stream.received_bytes)
             box.put(pb.Frame(stream=number, credit=credit))
 
     async def _open(self) -> Box:
         if self._box is not None and not self._box.closed:
             return self._box
         try:
-            await asyncio.wait_for(self._channel.channel_ready(), _CONNECT_S)
+            await asyncio.wait_for(
+                self._channel.channel_ready(), _CONNECT_TIMEOUT_S
+            )
         except (TimeoutError, grpc.aio.UsageError):
             raise errors.NotSent(
                 f'{self._address} cannot be reached'
@@ -140,7 +150,7 @@
                 for frame in batch.frames:
                     stream = self._streams.get(frame.stream)
                     if stream is not None:
-                        stream.arrived.put_nowait(frame)
+                        stream.inbox.put_nowait(frame)
         except grpc.RpcError as error:
             logs.emit(
                 events.PEER_LOST, peer=self._address, error=error.code().name
@@ -149,30 +159,34 @@
             box.close()
             call.cancel()
             for stream in self._streams.values():
-                stream.arrived.put_nowait(None)
+                stream.inbox.put_nowait(None)
             self._streams.clear()
 
 
 class PeerLinks:
-    """The links of this router, by peer address."""
+    """The links of this router to its peers, by address."""
 
     def __init__(self) -> None:
         self._links: dict[str, PeerLink] = {}
 
     def get(self, address: str) -> PeerLink:
-        """Return the link to a peer."""
+        """Return the link to a peer, a new one if there is none."""
         link = self._links.get(address)
         if link is None:
             link = self._links[address] = PeerLink(address)
         return link
 
     async def retain(self, addresses: set[str]) -> None:
-        """Close the links to all other peers: their leases have lapsed.
+        """Close the links to all peers but these.
+
+        Unfinished answers of a peer without a lease fail at once, so that
+        they are resumed at the next owner without waiting for a timeout.
 
-        What was under way there is resumed at the next steward, without
-        waiting for a frozen peer's connection to end.
+        :param addresses: the addresses of the peers with a lease
         """
-        for address in [a for a in self._links if a not in addresses]:
+        for address in [
+            unused for unused in self._links if unused not in addresses
+        ]:
             await self._links.pop(address).close()
 
     async def close(self) -> None:
@@ -181,19 +195,24 @@
 
 
 @attrs.define
-class _Served:
-    """The serving end of one answer."""
+class _ServerStream:
+    """The server side of one answer.
+
+    :ivar sent_bytes: payload bytes sent
+    :ivar credited_bytes: payload bytes acknowledged by the peer
+    :ivar credit_received: set by each credit frame
+    """
 
     task: asyncio.Task[None]
-    sent: int = 0
-    credited: int = 0
-    room: asyncio.Event = attrs.field(factory=asyncio.Event)
+    sent_bytes: int = 0
+    credited_bytes: int = 0
+    credit_received: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
 class PeerServicer(rpc.PeerServicer):
-    """Answers the calls that peers send here.
+    """Serves the calls that peers send to this router.
 
-    :param serve: runs a call on a backend server that we steward
+    :param serve: runs a call on a backend server that this router owns
     """
 
     def __init__(self, serve: Serve) -> None:
@@ -205,54 +224,56 @@
         context: grpc.aio.ServicerContext,
     ) -> collections.abc.AsyncIterator[pb.FrameBatch]:
         box: Box = outbox.Outbox(_COALESCE_S)
-        served: dict[int, _Served] = {}
-        reader = asyncio.create_task(self._read(request_iterator, box, served))
+        streams: dict[int, _ServerStream] = {}
+        reader = asyncio.create_task(
+            self._read(request_iterator, box, streams)
+        )
         try:
             while batch := await box.take():
                 yield pb.FrameBatch(frames=batch)
         finally:
             reader.cancel()
-            for one in list(served.values()):
-                one.task.cancel()
+            for stream in list(streams.values()):
+                stream.task.cancel()
 
     async def _read(
         self,
         batches: collections.abc.AsyncIterator[pb.FrameBatch],
         box: Box,
-        served: dict[int, _Served],
+        streams: dict[int, _ServerStream],
     ) -> None:
         with contextlib.suppress(grpc.RpcError):
             async for batch in batches:
                 for frame in batch.frames:
-                    self._take(frame, box, served)
+                    self._handle_frame(frame, box, streams)
         box.close()
 
-    def _take(
-        self, frame: pb.Frame, box: Box, served: dict[int, _Served]
+    def _handle_frame(
+        self, frame: pb.Frame, box: Box, streams: dict[int, _ServerStream]
     ) -> None:
-        kind = frame.WhichOneof('body')
+        frame_type = frame.WhichOneof('body')
         number = frame.stream
-        if kind == 'open':
+        if frame_type == 'open':
             task = asyncio.create_task(
-                self._answer(number, frame.open, box, served)
+                self._answer(number, frame.open, box, streams)
             )
-            served[number] = _Served(task)
+            streams[number] = _ServerStream(task)
             return
-        one = served.get(number)
-        if one is None:
+        stream = streams.get(number)
+        if stream is None:
             return
-        if kind == 'cancel':
-            one.task.cancel()
-        elif kind == 'credit':
-            one.credited = frame.credit.length
-            one.room.set()
+        if frame_type == 'cancel':
+            stream.task.cancel()
+        elif frame_type == 'credit':
+            stream.credited_bytes = frame.credit.length
+            stream.credit_received.set()
 
     async def _answer(
         self,
         number: int,
         message: pb.Open,
         box: Box,
-        served: dict[int, _Served],
+        streams: dict[int, _ServerStream],
     ) -> None:
         answer = self._serve(frames.decode_call(message), message.backend)
         try:
@@ -260,7 +281,7 @@
                 async for frame in answer:
                     box.put(frames.encode_frame(number, frame))
                     if isinstance(frame, exchange.Data):
-                        await _pace(served[number], frame)
+                        await _wait_for_credit(streams[number], frame)
         except errors.HoneyportError as error:
             box.put(frames.encode_failure(number, error))
         except Exception as error:
@@ -268,15 +289,17 @@
             failure = errors.HoneyportError('an internal error')
             box.put(frames.encode_failure(number, failure))
         finally:
-            served.pop(number, None)
+            streams.pop(number, None)
 
 
-async def _pace(served: _Served, frame: exchange.Data) -> None:
-    """Wait while the opener has a whole window still to take."""
-    served.sent += len(frame.payload)
-    while served.sent - served.credited > _WINDOW:
-        served.room.clear()
-        await served.room.wait()
+async def _wait_for_credit(
+    stream: _ServerStream, frame: exchange.Data
+) -> None:
+    """Wait until less than a window is unacknowledged, after a frame."""
+    stream.sent_bytes += len(frame.payload)
+    while stream.sent_bytes - stream.credited_bytes > _WINDOW_BYTES:
+        stream.credit_received.clear()
+        await stream.credit_received.wait()
 
 
 async def _batches(
