--- a/features/platform/configuration.feature
+++ b/features/platform/configuration.feature
@@ -17,22 +17,22 @@
       | field                              | value          | message              |
       | version                            | 0              | at least 1           |
       | version                            | "seven"        | a number             |
-      | routes.0.service                   | "nobody"       | no service           |
-      | routes.1.path_prefix               | "/pufi791/"    | another route has    |
+      | routes.0.service                   | "nobody"       | unknown service      |
+      | routes.1.path_prefix               | "/pufi791/"    | another route already has |
       | routes.0.timeout_ms                | 0              | at least 1           |
       | routes.1.traffic_split.0.weight    | 0              | more than 0          |
-      | routes.1.traffic_split.0.service   | "nobody"       | no service           |
-      | tenants.1.api_keys.0               | "n2ct"         | holds one of its keys |
+      | routes.1.traffic_split.0.service   | "nobody"       | unknown service      |
+      | tenants.1.api_keys.0               | "n2ct"         | already assigned     |
       | routes                             | {}             | a list               |
-      | tenants.0.name                     | 7              | text                 |
+      | tenants.0.name                     | 7              | a non-empty string   |
       | limits.idle_timeout_ms             | "long"         | a number             |
       | services.0.cold_start_s            | -1             | at least 0           |
       | services.0.cold_per_s              | "few"          | a number             |
       | services.0.cold_per_s              | Infinity       | finite               |
       | routes.0.timeout_ms                | Infinity       | finite               |
       | limits.max_body_bytes              | NaN            | finite               |
-      | routes.0.allowed_regions           | "hcm"          | a list of texts      |
-      | tenants.0.allowed_regions          | [7]            | a list of texts      |
+      | routes.0.allowed_regions           | "hcm"          | a list of strings    |
+      | tenants.0.allowed_regions          | [7]            | a list of strings    |
 
   Scenario: what cold instances take, and where requests may run
     Given the platform's example of a configuration
