--- a/features/policy/reach.feature
+++ b/features/policy/reach.feature
@@ -1,78 +1,74 @@
-Feature: What gateways cannot reach is left alone by all
+Feature: Instances that some gateways report are excluded for all
 
-  Scenario: an instance that two failure domains cannot reach
+  Scenario: gateways of two failure domains cannot reach an instance
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
     When gateways of thu-duc, tan-binh cannot reach tan-binh-1
-    Then all leave tan-binh-1 alone
+    Then the excluded instances are tan-binh-1
 
-  Scenario: a path that is cut between two failure domains only
+  Scenario: only one failure domain cannot reach an instance
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
     When gateways of thu-duc cannot reach tan-binh-1
-    Then all leave nothing alone
+    Then the excluded instances are none
 
-  Scenario: gateways in one failure domain alone
+  Scenario: only one failure domain has gateways
     Given gateways in thu-duc, and instances in thu-duc, tan-binh
     When gateways of thu-duc cannot reach tan-binh-1
-    Then all leave tan-binh-1 alone
+    Then the excluded instances are tan-binh-1
 
   Scenario: a failure domain is lost
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
-    When the gateways of binh-chanh fall silent
+    When the gateways of binh-chanh stop reporting
     And gateways of thu-duc, tan-binh cannot reach binh-chanh-1, binh-chanh-2
-    Then all leave all of binh-chanh alone
+    Then the excluded instances are all of binh-chanh
 
-  Scenario: a domain whose gateways were never heard
+  Scenario: a domain whose gateways never reported
     Given gateways in thu-duc, tan-binh, and instances in thu-duc, go-vap
     When gateways of thu-duc, tan-binh cannot reach go-vap-1, go-vap-2
-    Then all leave go-vap-1, go-vap-2 alone
+    Then the excluded instances are go-vap-1, go-vap-2
 
-  Scenario: gateways of a domain are gone, and its instances are there
+  Scenario: a domain loses its gateways and one instance
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
-    When the gateways of binh-chanh fall silent
+    When the gateways of binh-chanh stop reporting
     And gateways of thu-duc, tan-binh cannot reach binh-chanh-1
-    Then all leave binh-chanh-1 alone
+    Then the excluded instances are binh-chanh-1
 
-  Scenario: instances crash in a domain whose gateways are there
+  Scenario: instances crash in a domain whose gateways still report
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
     When gateways of thu-duc, tan-binh cannot reach binh-chanh-1, binh-chanh-2
-    Then all leave binh-chanh-1, binh-chanh-2 alone
+    Then the excluded instances are binh-chanh-1, binh-chanh-2
 
-  Scenario: an instance that stays out of reach is tried again, less and less
+  Scenario: an unreachable instance is tried again after growing pauses
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
     When gateways of thu-duc, tan-binh cannot reach tan-binh-1
-    Then it is left alone for 2, 4, 8, 8 seconds in turn
+    Then it is excluded for 2, 4, 8, 8 seconds in turn
 
-  # Before 1,000 dead instances each of 300 gateways found out about each of
-  # them by itself, 0.3 s at a time: a third of the requests were late for as
-  # long as the domain was away.
-  Scenario: a domain of hundreds of instances is lost
+  # Otherwise each gateway pays a connect timeout for each lost instance.
+  Scenario: a domain with a hundred instances is lost
     Given 30 gateways before 300 instances in 3 failure domains
-    When one failure domain is lost, and 20 requests a second come to each
-    Then 1.5 seconds later at most 2 in 100 offers go to instances that are lost
+    When one failure domain is lost, and each gateway gets 20 requests a second
+    Then 1.5 seconds later at most 2 in 100 attempts go to lost instances
 
-  Scenario: the leader was lost with it, and the next one knows nobody there
+  Scenario: a domain is lost whose gateways are unknown to the leader
     Given 30 gateways before 300 instances in 3 failure domains
-    And a leader that never heard the gateways of the one that gets lost
-    When one failure domain is lost, and 20 requests a second come to each
-    Then 1.5 seconds later at most 2 in 100 offers go to instances that are lost
+    And a leader that has no reports from the domain that will be lost
+    When one failure domain is lost, and each gateway gets 20 requests a second
+    Then 1.5 seconds later at most 2 in 100 attempts go to lost instances
 
-  # Each gateway had to be turned away itself before it left an instance alone
-  # that asked all of them for rest: with 83 gateways 242 rejections in ten
-  # seconds where ten instances did so, and 67 callers refused by them.
-  Scenario: an instance asks gateways of two failure domains for rest
+  # Otherwise the instance has to reject a request from each gateway.
+  Scenario: gateways of two failure domains report a requested backoff
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
-    When gateways of thu-duc, tan-binh tell that tan-binh-1 rests
-    Then all leave tan-binh-1 alone
-    When gateways of thu-duc, tan-binh tell that nothing rests
-    Then all leave nothing alone
+    When gateways of thu-duc, tan-binh report a backoff of tan-binh-1
+    Then the excluded instances are tan-binh-1
+    When gateways of thu-duc, tan-binh report a backoff of none
+    Then the excluded instances are none
 
-  Scenario: a single failure domain tells of rest
+  Scenario: only one failure domain reports a backoff
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
-    When gateways of thu-duc tell that tan-binh-1 rests
-    Then all leave nothing alone
+    When gateways of thu-duc report a backoff of tan-binh-1
+    Then the excluded instances are none
 
-  Scenario: instances at rest are no sign that their failure domain is lost
+  Scenario: instances in backoff do not indicate the loss of a domain
     Given gateways in thu-duc, tan-binh, binh-chanh, and instances in each
-    When the gateways of binh-chanh fall silent
-    And gateways of thu-duc, tan-binh tell that binh-chanh-1, binh-chanh-2 rests
-    Then all leave binh-chanh-1, binh-chanh-2 alone
+    When the gateways of binh-chanh stop reporting
+    And gateways of thu-duc, tan-binh report a backoff of binh-chanh-1, binh-chanh-2
+    Then the excluded instances are binh-chanh-1, binh-chanh-2
--- a/features/policy/suspicion.feature
+++ b/features/policy/suspicion.feature
@@ -1,96 +1,96 @@
-Feature: A request under which instances end is found out; others are served
+Feature: Requests that end instances are restricted, and others are served
 
-  Scenario Outline: what becomes of a request after some ends
-    Given a record of requests
-    When <ends> instances end under a request
+  Scenario Outline: the state of a request by the number of ends
+    Given an empty record of requests
+    When <ends> instances end while they run a request
     Then from now on it is <state>
 
     Examples:
-      | ends | state     |
-      | 0    | free      |
-      | 1    | free      |
-      | 2    | let in    |
-      | 3    | barred    |
+      | ends | state             |
+      | 0    | free              |
+      | 1    | free              |
+      | 2    | allowed by permit |
+      | 3    | barred            |
 
-  Scenario: of a request under two ends one copy runs at a time
-    Given a record of requests
-    When 2 instances end under a request
+  Scenario: one gateway at a time may run a request after two ends
+    Given an empty record of requests
+    When 2 instances end while they run a request
     Then one of 3 gateways that ask may run it
-    When that gateway gives it back
+    When that gateway releases the permit
     Then one of 3 gateways that ask may run it
 
-  Scenario: a gateway that is gone gives nothing back
-    Given a record of requests
-    When 2 instances end under a request
+  Scenario: the permit of a lost gateway is released
+    Given an empty record of requests
+    When 2 instances end while they run a request
     Then one of 3 gateways that ask may run it
     When that gateway loses its lease
     Then one of 3 gateways that ask may run it
 
-  Scenario: a barred request is tried three times, and no more
-    Given a record of requests
-    When 3 instances end under a request
-    And it is asked for each second of 3 hours, and ends who runs it
+  Scenario: a barred request is tried again at most three times
+    Given an empty record of requests
+    When 3 instances end while they run a request
+    And a permit is requested each second of 3 hours, and each run ends
     Then it was tried after 60, 660 and 6660 seconds
     And only an operator may clear it
 
-  Scenario: a good answer clears a request
-    Given a record of requests
-    When 2 instances end under a request
-    And it is served
-    And 2 instances end under a request
-    Then from now on it is let in
+  Scenario: a complete answer clears a request
+    Given an empty record of requests
+    When 2 instances end while they run a request
+    And it is answered
+    And 2 instances end while they run a request
+    Then from now on it is allowed by permit
 
-  Scenario: an end that several gateways see is one
-    Given a record of requests
-    When 2 instances end under a request, each seen by 9 gateways within 0.4 s
-    Then from now on it is let in
+  Scenario: an end that several gateways report is counted once
+    Given an empty record of requests
+    When 2 instances end while they run a request, seen by 9 gateways in 0.4 s
+    Then from now on it is allowed by permit
 
-  Scenario: an instance ends twice under the name that it keeps
-    Given a record of requests
-    When one instance ends 3 times under a request, 4 s apart
+  Scenario: repeated ends of an instance that keeps its name are counted
+    Given an empty record of requests
+    When one instance ends 3 times while it runs a request, 4 s apart
     Then from now on it is barred
 
-  Scenario: a new leader is told again what it knows already
-    Given a record of requests
-    When 3 instances end under a request
-    And a new leader takes over what was written down
-    And it is told of the same 3 ends by 9 gateways
+  Scenario: a new leader does not count ends that are stored already
+    Given an empty record of requests
+    When 3 instances end while they run a request
+    And a new leader loads the stored record
+    And the same 3 ends are reported to it by 9 gateways
     Then from now on it is barred
     And 3 ends are counted
 
-  Scenario: a million requests under one end each
-    Given a record of requests
-    When 2 instances end under a request
-    And 1000000 other requests are each under one end
-    Then no more than 4096 requests are remembered
-    And from now on it is let in
+  Scenario: a million requests with one end each
+    Given an empty record of requests
+    When 2 instances end while they run a request
+    And 1000000 other requests have one end each
+    Then at most 4096 requests are recorded
+    And from now on it is allowed by permit
 
-  Scenario Outline: proper requests while instances end
+  Scenario Outline: harmless requests while instances end
     Given a fleet of <gateways> gateways and <instances> instances
-    When <load> is played with 3 seeds
-    Then at most <refused> of its proper requests are refused
+    When <load> is simulated with 3 seeds
+    Then at most <refused> of its harmless requests are refused
     And at least <requests> were sent
 
-    Examples: what ends instances is not a request
+    Examples: no request causes the ends
       | gateways | instances | load                               | refused | requests |
       | 9        | 6         | crashes of 0.15 every 3 s          | 0       | 6000     |
       | 9        | 6         | crashes of 0.34 every 2 s          | 30      | 6000     |
-      | 9        | 6         | a hot key under crashes of 0.15    | 0       | 6000     |
-      | 40       | 48        | a hot key under crashes of 0.15    | 0       | 6000     |
-      | 40       | 48        | a whole domain that ends every 5 s | 0       | 30000    |
+      | 9        | 6         | a frequent request, crashes of 0.15 | 0       | 6000     |
+      | 40       | 48        | a frequent request, crashes of 0.15 | 0       | 6000     |
+      | 40       | 48        | a domain that ends every 5 s       | 0       | 30000    |
 
-    Examples: a request ends who runs it, and proper ones run beside it
+    Examples: a harmful request runs beside harmless ones
       | gateways | instances | load                               | refused | requests |
-      | 9        | 6         | a request that ends its instance   | 5       | 6000     |
-      | 40       | 48        | a request that ends its instance   | 0       | 6000     |
-      | 9        | 6         | two such requests and a hot key    | 20      | 6000     |
+      | 9        | 6         | one harmful request                | 5       | 6000     |
+      | 40       | 48        | one harmful request                | 0       | 6000     |
+      | 9        | 6         | two harmful and a frequent request | 20      | 6000     |
 
-  Scenario Outline: how many instances one request ends
+  Scenario Outline: the number of instances that one request ends
     Given a fleet of <gateways> gateways and <instances> instances
-    When <load> is played with 3 seeds
-    Then each such request ends at most <ends> instances
+    When <load> is simulated with 3 seeds
+    Then each harmful request ends at most <ends> instances
 
     Examples:
       | gateways | instances | load                                     | ends |
-      | 9        | 6         | a request that ends its instance         | 3    |
-      | 9        | 6         | nine copies of one at once               | 9    |
+      | 9        | 6         | one harmful request                      | 3    |
+      | 9        | 6         | nine simultaneous harmful requests       | 9    |
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps about cold instances: many gateways that do not ask each other."""
+"""Steps about the rate limit of cold instances, with many gateways."""
 
 import asyncio
 import collections
@@ -14,14 +14,14 @@
 
 _TOLERANCE = cold.tolerance(3.0, 9.6, multiple=1.5, extra=5.0)
 _COLD_MS = 3000
-_STAY_S = 0.3
+_DURATION_S = 0.3
 _SEEDS = (1, 2, 3)
 
 
 class Fleet:
-    """Gateways as they are, instances that take some time, a virtual clock.
+    """Real gateway balancers and simulated instances on a virtual clock.
 
-    :param cold_count: how many instances are cold from the start
+    :param cold_count: the number of instances that are cold from the start
     """
 
     def __init__(self, gateways, instances, cold_count):
@@ -35,7 +35,7 @@
         self.arrivals = collections.defaultdict(list)
 
     def play(self, per_s, hot_per_s, seconds, seed):
-        """Play one load on a virtual clock."""
+        """Simulate one load on a virtual clock."""
         loop = simulation.VirtualLoop()
         drawn = random.Random(seed)
         random.seed(seed)
@@ -68,7 +68,7 @@
         return made
 
     def _hot_prompt(self):
-        """Return a prompt whose first choice is a cold instance."""
+        """Return a prompt whose best-ranked place is on a cold instance."""
         number = 0
         while True:
             parts = choices.prompt_parts(f'hot-{number}')
@@ -86,23 +86,25 @@
         loop = asyncio.get_running_loop()
         held = choice.track(chosen)
         held.__enter__()
-        loop.call_later(_STAY_S, held.__exit__, None, None, None)
+        loop.call_later(_DURATION_S, held.__exit__, None, None, None)
         if chosen.id in self.cold:
             self.arrivals[chosen.id].append(loop.time())
 
-    def most_in_a_second(self):
-        """Return the most that any cold instance got within one second."""
-        most = 0
+    def max_per_second(self):
+        """Return the maximum requests to a cold instance in one second."""
+        maximum = 0
         for times in self.arrivals.values():
             for index, at in enumerate(times):
-                within = [one for one in times[index:] if one < at + 1.0]
-                most = max(most, len(within))
-        return most
+                within = [
+                    arrival for arrival in times[index:] if arrival < at + 1.0
+                ]
+                maximum = max(maximum, len(within))
+        return maximum
 
 
 @behave.given(
-    '{gateways:d} gateways before {instances:d} instances, of which '
-    '{count:d} is cold'
+    '{gateways:d} gateways before {instances:d} instances, {count:d} of them '
+    'cold'
 )
 @behave.given(
     '{gateways:d} gateways before {instances:d} instances, of which '
@@ -112,7 +114,7 @@
     context.fleets = [Fleet(gateways, instances, count) for _ in _SEEDS]
 
 
-@behave.given('half of the gateways see only each other')
+@behave.given('half of the gateways know only each other')
 def step_split(context):
     for fleet in context.fleets:
         half = len(fleet.names) // 2
@@ -120,9 +122,7 @@
             fleet.seen[name] = fleet.names[:half]
 
 
-@behave.given(
-    'each gateway has just come to see {count:d} others in place of all'
-)
+@behave.given('each gateway was just told of {count:d} others in place of all')
 def step_few(context, count):
     for fleet in context.fleets:
         fleet.seen_lately = dict(fleet.seen)
@@ -133,26 +133,28 @@
 
 @behave.when(
     '{per_s:d} requests a second come for {seconds:d} seconds, '
-    '{hot:d} of them for its prefix'
+    '{hot:d} of them with its prefix'
 )
 def step_play(context, per_s, seconds, hot):
     for fleet, seed in zip(context.fleets, _SEEDS, strict=True):
         fleet.play(per_s, hot, seconds, seed)
 
 
-@behave.then('no cold instance got more than {most:d} within one second')
-def step_most(context, most):
-    found = [fleet.most_in_a_second() for fleet in context.fleets]
-    assert max(found) <= most, found
+@behave.then(
+    'no cold instance gets more than {limit:d} requests within one second'
+)
+def step_limit(context, limit):
+    maxima = [fleet.max_per_second() for fleet in context.fleets]
+    assert max(maxima) <= limit, maxima
 
 
-@behave.then('every request was sent somewhere')
+@behave.then('all requests are sent')
 def step_all_sent(context):
     for fleet in context.fleets:
         assert fleet.sent == fleet.offered, (fleet.sent, fleet.offered)
 
 
-@behave.then('at least {share:g} of the requests were sent somewhere')
+@behave.then('a share of at least {share:g} of the requests is sent')
 def step_share_sent(context, share):
     for fleet in context.fleets:
         assert fleet.sent >= share * fleet.offered, fleet.sent / fleet.offered
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -1,4 +1,4 @@
-"""Steps about instances that gateways cannot reach."""
+"""Steps about instances that are excluded for all gateways."""
 
 import asyncio
 import random
@@ -12,9 +12,9 @@
 
 _PER_DOMAIN = 4
 _GATEWAYS_PER_DOMAIN = 3
-# From a failure to the word of it at all gateways: a report's period, a tick
-# and the next answer.
-_LAG_S = 0.3
+# From a failure to the exclusion at all gateways: a report period, a tick and
+# the next answer.
+_PROPAGATION_S = 0.3
 _STEP_S = 0.05
 
 
@@ -30,7 +30,7 @@
 
 def _set(context, gateways, instances):
     context.gateways = gateways
-    context.silent = set()
+    context.silent_domains = set()
     context.down = {domain: frozenset() for domain in gateways}
     context.resting = {}
     context.domains = {
@@ -40,67 +40,73 @@
     }
 
 
-@behave.when('the gateways of {domain} fall silent')
+@behave.when('the gateways of {domain} stop reporting')
 def step_silent(context, domain):
-    context.silent.add(domain)
+    context.silent_domains.add(domain)
     del context.down[domain]
 
 
 @behave.when('gateways of {domains} cannot reach {instances}')
-def step_cannot(context, domains, instances):
+def step_unreachable(context, domains, instances):
     for domain in domains.split(', '):
         context.down[domain] = frozenset(instances.split(', '))
 
 
-@behave.when('gateways of {domains} tell that {instances} rests')
-def step_rests(context, domains, instances):
-    named = set() if instances == 'nothing' else set(instances.split(', '))
+@behave.when('gateways of {domains} report a backoff of {instances}')
+def step_backoff(context, domains, instances):
+    named = set() if instances == 'none' else set(instances.split(', '))
     for domain in domains.split(', '):
         context.resting[domain] = frozenset(named)
 
 
-@behave.then('all leave {instances} alone')
-def step_alone(context, instances):
-    wanted = set(instances.split(', '))
-    if instances == 'nothing':
-        wanted = set()
+@behave.then('the excluded instances are {instances}')
+def step_excluded(context, instances):
+    expected = set(instances.split(', '))
+    if instances == 'none':
+        expected = set()
     if instances.startswith('all of '):
         domain = instances.removeprefix('all of ')
-        wanted = {name for name, of in context.domains.items() if of == domain}
-    words = []
+        expected = {
+            name
+            for name, instance_domain in context.domains.items()
+            if instance_domain == domain
+        }
+    reports = []
     for domain, down in context.down.items():
         resting = context.resting.get(domain, frozenset())
-        words.append(reach.GatewayReport(domain, down, resting))
-        # The other gateways of a domain have not tried.
-        rest = _GATEWAYS_PER_DOMAIN - 1
-        words += [reach.GatewayReport(domain, frozenset())] * rest
-    found = reach.Exclusions().update(
-        words, context.domains, context.silent, 0.0
+        reports.append(reach.GatewayReport(domain, down, resting))
+        # The other gateways of a domain have not tried to connect.
+        others = _GATEWAYS_PER_DOMAIN - 1
+        reports += [reach.GatewayReport(domain, frozenset())] * others
+    excluded = reach.Exclusions().update(
+        reports, context.domains, context.silent_domains, 0.0
     )
-    assert found == wanted, found
+    assert excluded == expected, excluded
 
 
-@behave.then('it is left alone for {lengths} seconds in turn')
-def step_lengths(context, lengths):
-    register = reach.Exclusions()
+@behave.then('it is excluded for {durations} seconds in turn')
+def step_durations(context, durations):
+    exclusions = reach.Exclusions()
     now = 0.0
-    words = [
+    reports = [
         reach.GatewayReport(domain, down)
         for domain, down in context.down.items()
     ]
-    silence = [
+    empty_reports = [
         reach.GatewayReport(domain, frozenset()) for domain in context.down
     ]
-    for length in lengths.split(', '):
-        assert register.update(words, context.domains, set(), now)
-        now += float(length) - 0.1
-        assert register.update(silence, context.domains, set(), now)
+    for duration in durations.split(', '):
+        assert exclusions.update(reports, context.domains, set(), now)
+        now += float(duration) - 0.1
+        assert exclusions.update(empty_reports, context.domains, set(), now)
         now += 0.2
-        assert not register.update(silence, context.domains, set(), now)
+        assert not exclusions.update(
+            empty_reports, context.domains, set(), now
+        )
 
 
 class Fleet:
-    """Gateways that choose, and instances of which some are dark."""
+    """Gateways with real balancers, and instances of which some are lost."""
 
     def __init__(self, gateways, instances, domains):
         self.loop = simulation.VirtualLoop()
@@ -116,62 +122,66 @@
             choices.make_balancer(f'g-{number}', names[number % domains], {})
             for number in range(gateways)
         ]
-        self.heard = [
-            one
-            for number, one in enumerate(self.gateways)
+        self.connected = [
+            gateway
+            for number, gateway in enumerate(self.gateways)
             if names[number % domains] != self.lost
         ]
-        self.words = [
+        self.connected_domains = [
             names[number % domains]
             for number in range(gateways)
             if names[number % domains] != self.lost
         ]
         self.reach = reach.Exclusions()
-        self.silent = {self.lost}
-        self.offers = []
+        self.silent_domains = {self.lost}
+        self.updates = []
 
     async def start(self):
-        """Tell all gateways which instances there are."""
+        """Send the list of instances to all gateways."""
         listed = choices.instance_list(self.domains)
-        for one in self.heard:
-            one.update(listed, {}, 0.0)
+        for gateway in self.connected:
+            gateway.update(listed, {}, 0.0)
 
     async def play(self, seconds, per_s):
-        """Play requests; return the share of offers to dark instances."""
+        """Simulate requests; return the share sent to lost instances."""
         now = asyncio.get_running_loop().time
         until = now() + seconds
-        offers = lost = 0
+        attempts = lost = 0
         while now() < until:
             await asyncio.sleep(_STEP_S)
-            for one in self.heard:
+            for gateway in self.connected:
                 if self.random.random() < per_s * _STEP_S:
-                    offers += 1
-                    lost += self._offer(one)
-            self._tell(now())
-        return lost / offers
+                    attempts += 1
+                    lost += self._send(gateway)
+            self._propagate(now())
+        return lost / attempts
 
-    def _offer(self, gateway):
-        """Offer one request; return whether the instance was dark."""
+    def _send(self, gateway):
+        """Send one request; return whether the instance was lost."""
         subject = prefixes.Part(f's-{self.random.randrange(10**6)}', 6000)
         parts = (subject, prefixes.Part('own', 500))
         chosen = gateway.choose(choices.SERVICE, parts, ()).instance
-        is_dark = chosen.domain == self.lost
-        if is_dark:
+        is_lost = chosen.domain == self.lost
+        if is_lost:
             gateway.record_failure(chosen, 'HP-3007', was_reached=False)
-        return is_dark
-
-    def _tell(self, now):
-        """Tell all what was out of reach a moment ago."""
-        words = [
-            reach.GatewayReport(domain, frozenset(one.unreachable))
-            for domain, one in zip(self.words, self.heard, strict=True)
+        return is_lost
+
+    def _propagate(self, now):
+        """Send the delayed exclusions to all gateways."""
+        reports = [
+            reach.GatewayReport(domain, frozenset(gateway.unreachable))
+            for domain, gateway in zip(
+                self.connected_domains, self.connected, strict=True
+            )
         ]
-        found = self.reach.update(words, self.domains, self.silent, now)
-        self.offers.append((now, found))
-        for at, former in self.offers:
-            if at <= now - _LAG_S:
-                for one in self.heard:
-                    one.set_unreachable(former)
+        excluded = self.reach.update(
+            reports, self.domains, self.silent_domains, now
+        )
+        self.updates.append((now, excluded))
+        for at, excluded_then in self.updates:
+            if at <= now - _PROPAGATION_S:
+                for gateway in self.connected:
+                    gateway.set_unreachable(excluded_then)
 
 
 @behave.given(
@@ -183,27 +193,26 @@
     context.fleet.loop.run_until_complete(context.fleet.start())
 
 
-@behave.given(
-    'a leader that never heard the gateways of the one that gets lost'
-)
-def step_unheard(context):
-    context.fleet.silent = set()
+@behave.given('a leader that has no reports from the domain that will be lost')
+def step_unknown(context):
+    context.fleet.silent_domains = set()
 
 
 @behave.when(
-    'one failure domain is lost, and {per_s:d} requests a second come to each'
+    'one failure domain is lost, and each gateway gets {per_s:d} requests a '
+    'second'
 )
 def step_lost(context, per_s):
     context.per_s = per_s
 
 
 @behave.then(
-    '{seconds:g} seconds later at most {most:d} in 100 offers go to instances '
-    'that are lost'
+    '{seconds:g} seconds later at most {limit:d} in 100 attempts go to lost '
+    'instances'
 )
-def step_share(context, seconds, most):
+def step_share(context, seconds, limit):
     fleet = context.fleet
     run = fleet.loop.run_until_complete
     first = run(fleet.play(seconds, context.per_s))
     share = run(fleet.play(seconds, context.per_s))
-    assert share <= most / 100, (first, share)
+    assert share <= limit / 100, (first, share)
--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -9,35 +9,38 @@
 _STEP_S = 0.25
 
 
-@behave.given('a leader that remembers the routers {names}')
+@behave.given('a leader that has stored the routers {names}')
 def step_leader(context, names):
-    context.known = {name: f'{name}:1' for name in _split(names)}
-    context.attach_at = {}
-    context.most = 16
+    context.stored = {name: f'{name}:1' for name in _split(names)}
+    context.connect_at = {}
+    context.limit = 16
     context.end_at = {}
 
 
-@behave.given('a leader that remembers {count:d} routers')
+@behave.given('a leader that has stored {count:d} routers')
 def step_leader_of_many(context, count):
-    context.known = {f'r-{one}': f'r-{one}:1' for one in range(count)}
-    context.attach_at = {}
+    context.stored = {
+        f'r-{number}': f'r-{number}:1' for number in range(count)
+    }
+    context.connect_at = {}
     context.end_at = {}
-    context.most = 16
+    context.limit = 16
 
 
 @behave.then(
-    'at most {most:d} are called at once, and all within {seconds:g} s'
+    'at most {limit:d} are called at the same time, and all within '
+    '{seconds:g} s'
 )
-def step_at_once(context, most, seconds):
+def step_at_once(context, limit, seconds):
     _, calls = _play(context, seconds)
     counts = collections.Counter(now for _, now in calls)
-    assert max(counts.values()) <= most, counts
-    assert {name for name, _ in calls} == set(context.known)
+    assert max(counts.values()) <= limit, counts
+    assert {name for name, _ in calls} == set(context.stored)
 
 
-@behave.when('{names} attach after {seconds:g} seconds')
-def step_attach(context, names, seconds):
-    context.attach_at |= dict.fromkeys(_split(names), seconds)
+@behave.when('{names} connect after {seconds:g} seconds')
+def step_connect(context, names, seconds):
+    context.connect_at |= dict.fromkeys(_split(names), seconds)
 
 
 @behave.when('the stream of {name} ends after {seconds:g} seconds')
@@ -45,14 +48,14 @@
     context.end_at[name] = seconds
 
 
-@behave.then('nobody is called within {seconds:g} seconds')
+@behave.then('no router is called within {seconds:g} seconds')
 def step_none_called(context, seconds):
     _, calls = _play(context, seconds)
     assert not calls, calls
 
 
 @behave.then(
-    '{name} alone is called within {seconds:g} seconds, first after {first:g} '
+    'only {name} is called within {seconds:g} seconds, first after {first:g} '
     'seconds'
 )
 def step_called(context, name, seconds, first):
@@ -71,32 +74,34 @@
     assert calls[-1][1] - calls[-2][1] >= apart, calls
 
 
-@behave.then('nobody is forgotten after {seconds:g} seconds')
-def step_none_forgotten(context, seconds):
-    played, _ = _play(context, seconds)
-    assert not played.expired(context.known, seconds)
+@behave.then('no router has expired after {seconds:g} seconds')
+def step_none_expired(context, seconds):
+    schedule, _ = _play(context, seconds)
+    assert not schedule.expired(context.stored, seconds)
 
 
-@behave.then('{name} alone is forgotten after {seconds:g} seconds')
-def step_forgotten(context, name, seconds):
-    played, _ = _play(context, seconds)
-    assert played.expired(context.known, seconds) == [name]
+@behave.then('only {name} has expired after {seconds:g} seconds')
+def step_expired(context, name, seconds):
+    schedule, _ = _play(context, seconds)
+    assert schedule.expired(context.stored, seconds) == [name]
 
 
 def _play(context, seconds):
-    """Return the roster after a time, and who was called when."""
-    played = roster.ReconnectSchedule()
+    """Return the schedule after a time, and the calls with their times."""
+    schedule = roster.ReconnectSchedule()
     calls = []
     for step in range(int(seconds / _STEP_S) + 1):
         now = step * _STEP_S
-        attached = {
+        connected = {
             name
-            for name, begin in context.attach_at.items()
+            for name, begin in context.connect_at.items()
             if begin <= now < context.end_at.get(name, float('inf'))
         }
-        for name in played.due(context.known, attached, now, context.most):
+        for name in schedule.due(
+            context.stored, connected, now, context.limit
+        ):
             calls.append((name, now))
-    return played, calls
+    return schedule, calls
 
 
 def _split(names):
--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests under which instances end."""
+"""Steps about requests during which instances end."""
 
 import behave
 
@@ -11,17 +11,17 @@
 _LOADS = {
     'crashes of 0.15 every 3 s': crashes.Load(share=0.15),
     'crashes of 0.34 every 2 s': crashes.Load(share=0.34, every_s=2.0),
-    'a hot key under crashes of 0.15': crashes.Load(share=0.15, hot=True),
-    'a whole domain that ends every 5 s': crashes.Load(
+    'a frequent request, crashes of 0.15': crashes.Load(share=0.15, hot=True),
+    'a domain that ends every 5 s': crashes.Load(
         share=0.33, every_s=5.0, by_domain=True, requests_per_s=240.0
     ),
-    'a request that ends its instance': crashes.Load(deadly=1),
-    'two such requests and a hot key': crashes.Load(deadly=2, hot=True),
-    'nine copies of one at once': crashes.Load(deadly=1, copies=9),
+    'one harmful request': crashes.Load(deadly=1),
+    'two harmful and a frequent request': crashes.Load(deadly=2, hot=True),
+    'nine simultaneous harmful requests': crashes.Load(deadly=1, copies=9),
 }
 
 
-@behave.given('a record of requests')
+@behave.given('an empty record of requests')
 def step_record(context):
     context.register = suspicion.EndRegister({}, 0.0)
     context.now = 100.0
@@ -29,14 +29,15 @@
     context.gone = set()
 
 
-@behave.when('{count:d} instances end under a request')
+@behave.when('{count:d} instances end while they run a request')
 def step_end(context, count):
     for _ in range(count):
         _end(context)
 
 
 @behave.when(
-    'one instance ends {count:d} times under a request, {apart:g} s apart'
+    'one instance ends {count:d} times while it runs a request, {apart:g} s '
+    'apart'
 )
 def step_end_again(context, count, apart):
     for _ in range(count):
@@ -45,8 +46,8 @@
 
 
 @behave.when(
-    '{count:d} instances end under a request, each seen by {gateways:d} '
-    'gateways within {spread:g} s'
+    '{count:d} instances end while they run a request, seen by {gateways:d} '
+    'gateways in {spread:g} s'
 )
 def step_end_seen(context, count, gateways, spread):
     for _ in range(count):
@@ -58,13 +59,13 @@
             context.register.record_end(_REQUEST, name, at)
 
 
-@behave.when('it is served')
-def step_served(context):
+@behave.when('it is answered')
+def step_answered(context):
     assert context.register.clear(_REQUEST)
 
 
-@behave.when('that gateway gives it back')
-def step_give_back(context):
+@behave.when('that gateway releases the permit')
+def step_release(context):
     context.register.release_permit(_REQUEST, context.holder)
 
 
@@ -74,35 +75,37 @@
 
 
 @behave.when(
-    'it is asked for each second of {hours:d} hours, and ends who runs it'
+    'a permit is requested each second of {hours:d} hours, and each run ends'
 )
-def step_ask_long(context, hours):
-    began = context.now
+def step_request_long(context, hours):
+    started_at = context.now
     context.tried = []
     for second in range(1, hours * _HOUR_S):
-        context.now = began + second
-        if _ask(context, 'g').granted:
+        context.now = started_at + second
+        if _request_permit(context, 'g').granted:
             context.tried.append(second)
             context.register.release_permit(_REQUEST, 'g')
             context.register.record_end(_REQUEST, f't-{second}', context.now)
 
 
-@behave.when('a new leader takes over what was written down')
+@behave.when('a new leader loads the stored record')
 def step_new_leader(context):
-    noted = {_REQUEST: context.register.ended_instances(_REQUEST)}
+    stored = {_REQUEST: context.register.ended_instances(_REQUEST)}
     context.now += _APART_S
-    context.register = suspicion.EndRegister(noted, context.now)
+    context.register = suspicion.EndRegister(stored, context.now)
 
 
-@behave.when('it is told of the same {count:d} ends by {gateways:d} gateways')
-def step_told_again(context, count, gateways):
+@behave.when(
+    'the same {count:d} ends are reported to it by {gateways:d} gateways'
+)
+def step_reported_again(context, count, gateways):
     for number in range(1, count + 1):
         for _ in range(gateways):
             at = context.now - _APART_S * number
             context.register.record_end(_REQUEST, f'i-{number}', at)
 
 
-@behave.when('{count:d} other requests are each under one end')
+@behave.when('{count:d} other requests have one end each')
 def step_others(context, count):
     for number in range(count):
         context.register.record_end(f'other-{number}', 'i-x', context.now)
@@ -110,47 +113,51 @@
 
 @behave.then('from now on it is {state}')
 def step_state(context, state):
-    shown = [one.request for one in context.register.suspects()]
-    verdict = _ask(context, 'g')
-    found = 'free'
-    if _REQUEST in shown:
-        found = 'let in' if verdict.granted else 'barred'
-        assert verdict.barred == (found == 'barred')
-    assert found == state, found
+    suspects = [suspect.request for suspect in context.register.suspects()]
+    decision = _request_permit(context, 'g')
+    actual = 'free'
+    if _REQUEST in suspects:
+        actual = 'allowed by permit' if decision.granted else 'barred'
+        assert decision.barred == (actual == 'barred')
+    assert actual == state, actual
 
 
 @behave.then('one of {count:d} gateways that ask may run it')
 def step_one(context, count):
-    left = (f'g-{number}' for number in range(count + len(context.gone)))
-    gateways = [one for one in left if one not in context.gone][:count]
-    granted = [one for one in gateways if _ask(context, one).granted]
+    names = (f'g-{number}' for number in range(count + len(context.gone)))
+    gateways = [name for name in names if name not in context.gone][:count]
+    granted = [
+        gateway
+        for gateway in gateways
+        if _request_permit(context, gateway).granted
+    ]
     assert len(granted) == 1, granted
     context.holder = granted[0]
 
 
-@behave.then('it was tried after {one:d}, {two:d} and {three:d} seconds')
-def step_tried(context, one, two, three):
-    assert context.tried == [one, two, three], context.tried
+@behave.then('it was tried after {first:d}, {second:d} and {third:d} seconds')
+def step_tried(context, first, second, third):
+    assert context.tried == [first, second, third], context.tried
 
 
 @behave.then('only an operator may clear it')
 def step_operator(context):
-    assert _ask(context, 'g') == suspicion.PermitDecision(
+    assert _request_permit(context, 'g') == suspicion.PermitDecision(
         granted=False, barred=True
     )
     assert context.register.clear(_REQUEST)
-    assert _ask(context, 'g').granted
+    assert _request_permit(context, 'g').granted
 
 
 @behave.then('{count:d} ends are counted')
 def step_counted(context, count):
-    [found] = context.register.suspects()
-    assert found.ends == count, found
+    [suspect] = context.register.suspects()
+    assert suspect.ends == count, suspect
 
 
-@behave.then('no more than {most:d} requests are remembered')
-def step_remembered(context, most):
-    assert len(context.register) <= most, len(context.register)
+@behave.then('at most {limit:d} requests are recorded')
+def step_recorded(context, limit):
+    assert len(context.register) <= limit, len(context.register)
 
 
 @behave.given('a fleet of {gateways:d} gateways and {instances:d} instances')
@@ -158,8 +165,8 @@
     context.size = (gateways, instances)
 
 
-@behave.when('{load} is played with {seeds:d} seeds')
-def step_play(context, load, seeds):
+@behave.when('{load} is simulated with {seeds:d} seeds')
+def step_simulate(context, load, seeds):
     context.fleets = []
     for seed in range(1, seeds + 1):
         fleet = crashes.Fleet(_LOADS[load], *context.size, seed)
@@ -167,22 +174,24 @@
         context.fleets.append(fleet)
 
 
-@behave.then('at most {most:d} of its proper requests are refused')
-def step_refused(context, most):
-    refused = [one.refused for one in context.fleets]
-    assert sum(refused) <= most, refused
+@behave.then('at most {limit:d} of its harmless requests are refused')
+def step_refused(context, limit):
+    refused = [fleet.refused for fleet in context.fleets]
+    assert sum(refused) <= limit, refused
 
 
-@behave.then('at least {least:d} were sent')
-def step_sent(context, least):
-    assert sum(one.sent for one in context.fleets) >= least
+@behave.then('at least {minimum:d} were sent')
+def step_sent(context, minimum):
+    assert sum(fleet.sent for fleet in context.fleets) >= minimum
 
 
-@behave.then('each such request ends at most {most:d} instances')
-def step_ends(context, most):
-    found = [dict(one.ends) for one in context.fleets]
-    assert all(found), found
-    assert max(max(one.values()) for one in found) <= most, found
+@behave.then('each harmful request ends at most {limit:d} instances')
+def step_ends(context, limit):
+    ends_by_fleet = [dict(fleet.ends) for fleet in context.fleets]
+    assert all(ends_by_fleet), ends_by_fleet
+    assert max(max(ends.values()) for ends in ends_by_fleet) <= limit, (
+        ends_by_fleet
+    )
 
 
 def _end(context):
@@ -192,7 +201,10 @@
     context.register.record_end(_REQUEST, name, context.now)
 
 
-def _ask(context, holder):
+def _request_permit(context, holder):
     return context.register.request_permit(
-        _REQUEST, holder, context.now, lambda one: one not in context.gone
+        _REQUEST,
+        holder,
+        context.now,
+        lambda holder_name: holder_name not in context.gone,
     )
