--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -136,7 +136,7 @@
     [name] = _arrived_at(fixture)
     fixture.apply_instances(leaving=(name,))
     [instance] = [one for one in fixture.instances if one.name == name]
-    instance.end()
+    instance.crash()
     await asked
 
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -173,7 +173,9 @@
         loop = asyncio.get_running_loop()
         loop.call_later(later / 1000, context.fixture.make_ready, 'idempotent')
         began = loop.time()
-        context.response = await send_request(context.fixture, limit_ms=limit)
+        context.response = await send_request(
+            context.fixture, deadline_ms=limit
+        )
         context.took_s = loop.time() - began
         await asyncio.sleep(max(0.0, later / 1000 - context.took_s))
 
@@ -264,7 +266,10 @@
 
 @behave.then('the answer is the complete answer of an instance')
 def step_whole(context):
-    assert context.response.whole and context.response.body == instances.BODY
+    assert (
+        context.response.is_complete
+        and context.response.body == instances.BODY
+    )
     assert context.response.headers[_NAMES.digest] == 'd1'
 
 
@@ -315,12 +320,12 @@
     lines = context.response.body.decode().splitlines()
     found = [line for line in lines if line.startswith('id:')]
     wanted = [f'id: {number}' for number in range(1, instances.EVENTS + 1)]
-    assert context.response.whole and found == wanted, context.response
+    assert context.response.is_complete and found == wanted, context.response
 
 
 @behave.then('the caller sees that the answer is incomplete')
 def step_not_whole(context):
-    assert not context.response.whole, context.response
+    assert not context.response.is_complete, context.response
 
 
 @behave.then('the instance sees the disconnect within half a second')
@@ -328,7 +333,7 @@
     async def wait():
         arrivals = context.fixture.script.arrivals
         async with asyncio.timeout(_SOON_S):
-            await arrivals[0].left.wait()
+            await arrivals[0].disconnected.wait()
 
     context.run(wait())
 
@@ -358,13 +363,13 @@
     key: str = caller.KEY,
     path: str = '/r/x?a=1',
     host: str = caller.HOST,
-    limit_ms: int = 5000,
+    deadline_ms: int = 5000,
 ) -> caller.Response:
     reader, writer = await asyncio.open_connection(
         *roles.split(fixture.address)
     )
     try:
-        writer.write(caller.request(key, path, host, limit_ms=limit_ms))
+        writer.write(caller.request(key, path, host, deadline_ms=deadline_ms))
         return await caller.read(reader)
     finally:
         writer.close()
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -84,7 +84,7 @@
     '{per_s:d} requests a second reach the gateway for {seconds:d} seconds'
 )
 def step_load(context, per_s, seconds):
-    with log_capture.taken() as context.lines:
+    with log_capture.captured_events() as context.lines:
         context.run(_load(context, per_s, seconds))
 
 
@@ -185,8 +185,8 @@
     """Return when the first rest ends of those that are known at a moment."""
     ends = {}
     for one in context.fixture.script.arrivals:
-        if _asks(one) and 0 < one.answered < at:
-            until = one.answered + _rest_s(one)
+        if _asks(one) and 0 < one.answered_at < at:
+            until = one.answered_at + _rest_s(one)
             ends[one.instance] = max(until, ends.get(one.instance, 0.0))
     return min(ends.values())
 
@@ -213,7 +213,7 @@
 
 
 def _have_do(context, names, step):
-    context.fixture.script.always |= dict.fromkeys(names, step)
+    context.fixture.script.step_by_instance |= dict.fromkeys(names, step)
 
 
 def _rest_s(arrival):
@@ -239,11 +239,11 @@
     late = []
     for number, later in enumerate(arrivals):
         waits = [
-            later.at - first.answered
+            later.arrived_at - first.answered_at
             for first in arrivals[:number]
             if first.instance == later.instance
-            and first.answered
-            and grace_s < later.at - first.answered < lasts(first)
+            and first.answered_at
+            and grace_s < later.arrived_at - first.answered_at < lasts(first)
         ]
         if waits:
             late.append((later.instance, round(min(waits), 2)))
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -1,4 +1,4 @@
-"""A caller of a gateway: requests as bytes, answers read to their end."""
+"""A raw HTTP caller of a gateway."""
 
 import asyncio
 
@@ -13,47 +13,50 @@
 
 @attrs.define
 class Response:
-    """What a caller got."""
+    """The response of a gateway.
+
+    :ivar is_complete: whether the whole body arrived
+    """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 def request(
     key: str = KEY,
     path: str = '/r/x',
     host: str = HOST,
-    name: str = 'q-1',
-    limit_ms: int = 5000,
+    request_id: str = 'q-1',
+    deadline_ms: int = 5000,
 ) -> bytes:
-    """Return the bytes of a caller's request."""
+    """Return a request as bytes."""
     return (
         f'POST {path} HTTP/1.1\r\nHost: {host}\r\n'
         f'Authorization: Bearer {key}\r\n'
-        f'{_NAMES.request_id}: {name}\r\n'
-        f'{_NAMES.deadline_ms}: {limit_ms}\r\n'
+        f'{_NAMES.request_id}: {request_id}\r\n'
+        f'{_NAMES.deadline_ms}: {deadline_ms}\r\n'
         f'{_NAMES.account}: forged\r\n'
         'Content-Length: 4\r\n\r\nbody'
     ).encode()
 
 
 async def read(reader: asyncio.StreamReader) -> Response:
-    """Return what a caller gets."""
+    """Read a response until its body is complete or the connection breaks."""
     head = (await reader.readuntil(b'\r\n\r\n')).decode()
-    line, *rest = head.strip().split('\r\n')
-    headers = dict(one.split(': ', 1) for one in rest)
-    got = Response(int(line.split()[1]), headers, b'', True)
+    status_line, *header_lines = head.strip().split('\r\n')
+    headers = dict(line.split(': ', 1) for line in header_lines)
+    response = Response(int(status_line.split()[1]), headers, b'', True)
     try:
         if 'Content-Length' in headers:
             length = int(headers['Content-Length'])
-            got.body = await reader.readexactly(length)
-            return got
+            response.body = await reader.readexactly(length)
+            return response
         while size := int(await reader.readuntil(b'\r\n'), 16):
-            got.body += await reader.readexactly(size)
+            response.body += await reader.readexactly(size)
             await reader.readexactly(2)
         await reader.readexactly(2)
     except (asyncio.IncompleteReadError, ConnectionError, ValueError):
-        got.whole = False
-    return got
+        response.is_complete = False
+    return response
--- a/features/support/choices.py
+++ b/features/support/choices.py
@@ -1,4 +1,4 @@
-"""Prompts, and lists of instances, for choices that gateways make."""
+"""Balancers, prompts and instance lists for tests."""
 
 from honeyport.gateway import balancer
 from honeyport.gateway import headers
@@ -11,15 +11,15 @@
 
 
 def make_balancer(name, domain, regions):
-    """Return the choice of a gateway of which no instance asked anything."""
-    asked = instance_signals.InstanceSignals(
+    """Return a balancer without signals from instances."""
+    signals = instance_signals.InstanceSignals(
         headers.HeaderNames(), metrics.Metrics()
     )
-    return balancer.Balancer(name, domain, regions, asked)
+    return balancer.Balancer(name, domain, regions, signals)
 
 
 def prompt_parts(subject):
-    """Return the parts of a prompt."""
+    """Return prompt parts of which the middle one is a subject."""
     return (
         prefixes.Part('lead', 2500),
         prefixes.Part(subject, 6000),
@@ -28,14 +28,14 @@
 
 
 def instance_list(domains, number=1):
-    """Return a list of instances, each at a place of its own.
+    """Return a list of instances, each with its own place.
 
-    :param domains: the failure domain of each instance, by name
-    :param number: of the list
+    :param domains: failure domain of each instance, by instance id
+    :param number: number of the list
     """
-    made = pb.Instances(number=number)
+    instances = pb.Instances(number=number)
     for name, domain in domains.items():
-        made.instances.add(
+        instances.instances.add(
             id=name,
             service=SERVICE,
             address=name,
@@ -43,4 +43,4 @@
             slots=64,
             place=name,
         )
-    return made
+    return instances
--- a/features/support/instances.py
+++ b/features/support/instances.py
@@ -1,4 +1,4 @@
-"""Instances of a service that do what a script says, byte for byte."""
+"""Scripted instances of a service, on the level of bytes."""
 
 import asyncio
 import collections
@@ -18,48 +18,50 @@
 
 @attrs.define
 class Arrival:
-    """A request as an instance saw it.
+    """A request that arrived at an instance.
 
-    :ivar at: when it came, in seconds of the steady clock
-    :ivar answered: when its answer was written; 0 until then
-    :ivar step: what the instance does with it
+    :ivar connection: number of the connection at the instance
+    :ivar disconnected: set when the gateway closed the connection
+    :ivar arrived_at: time of arrival on the monotonic clock, in seconds
+    :ivar answered_at: time of the answer on the same clock; 0 until then
+    :ivar step: script step that the instance runs for it
     """
 
     instance: str
-    line: str
+    request_line: str
     headers: dict[str, str]
     body: bytes
     connection: int
-    left: asyncio.Event = attrs.field(factory=asyncio.Event)
-    at: float = attrs.field(factory=time.monotonic)
-    answered: float = 0.0
+    disconnected: asyncio.Event = attrs.field(factory=asyncio.Event)
+    arrived_at: float = attrs.field(factory=time.monotonic)
+    answered_at: float = 0.0
     step: str = ''
 
 
 class Script:
-    """What instances do with the requests that arrive, in their order.
+    """Steps for the requests of all instances, in order of arrival.
 
     The last step is repeated.
 
-    :ivar always: what single instances do with all that they get, by name
+    :ivar step_by_instance: fixed step of an instance, by name
     """
 
     def __init__(self, steps: list[str]) -> None:
         self._steps = collections.deque(steps)
         self.arrivals: list[Arrival] = []
-        self.always: dict[str, str] = {}
+        self.step_by_instance: dict[str, str] = {}
 
     def next(self, instance: str) -> str:
-        """Return what an instance does with what it just got."""
-        if instance in self.always:
-            return self.always[instance]
+        """Return the step for a request that arrived at an instance."""
+        if instance in self.step_by_instance:
+            return self.step_by_instance[instance]
         if len(self._steps) > 1:
             return self._steps.popleft()
         return self._steps[0]
 
 
 class Instance:
-    """One instance on a loopback address."""
+    """An instance on a loopback address."""
 
     def __init__(self, name: str, script: Script) -> None:
         self.name = name
@@ -70,19 +72,19 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Take connections."""
+        """Listen for connections."""
         host, port = roles.split(self.address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         assert self._server is not None
         self._server.close()
         for writer in self._writers:
             writer.close()
 
-    def end(self) -> None:
-        """End as a process does: nothing listens, connections are reset."""
+    def crash(self) -> None:
+        """Crash: stop listening and reset all connections."""
         assert self._server is not None
         self._server.close()
         for writer in self._writers:
@@ -100,9 +102,9 @@
                 self._script.arrivals.append(arrival)
                 arrival.step = step = self._script.next(self.name)
                 if step == 'end':
-                    self.end()
+                    self.crash()
                     return
-                if not await _play(step, arrival, reader, writer):
+                if not await _run_step(step, arrival, reader, writer):
                     break
         writer.close()
 
@@ -110,20 +112,20 @@
         self, reader: asyncio.StreamReader, connection: int
     ) -> Arrival:
         head = (await reader.readuntil(b'\r\n\r\n')).decode()
-        line, *rest = head.strip().split('\r\n')
-        headers = dict(one.split(': ', 1) for one in rest)
+        request_line, *header_lines = head.strip().split('\r\n')
+        headers = dict(line.split(': ', 1) for line in header_lines)
         length = int(headers.get('Content-Length', 0))
         body = await reader.readexactly(length)
-        return Arrival(self.name, line, headers, body, connection)
+        return Arrival(self.name, request_line, headers, body, connection)
 
 
-async def _play(
+async def _run_step(
     step: str,
     arrival: Arrival,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
-    """Do one step; return whether the connection goes on."""
+    """Run a step; return whether the connection stays open."""
     if step == 'close':
         return False
     if step == 'reset':
@@ -133,41 +135,45 @@
         if step == 'stream and wait':
             writer.write(_stream_head(arrival) + _chunk(_event(1)))
         await reader.read(1)
-        arrival.left.set()
+        arrival.disconnected.set()
         return False
-    writer.write(_bytes(step, arrival))
+    writer.write(_answer_bytes(step, arrival))
     await writer.drain()
-    arrival.answered = time.monotonic()
+    arrival.answered_at = time.monotonic()
     return step not in ('cut', 'unframed', 'stream cut', 'garbage')
 
 
-def _bytes(step: str, arrival: Arrival) -> bytes:
-    """Return what an instance writes in one step.
+def _answer_bytes(step: str, arrival: Arrival) -> bytes:
+    """Return the bytes that an instance writes for a step.
 
-    After ``for`` comes how long the instance wants nothing, after
-    ``leaves`` what it does while it says that it leaves.
+    ``rest for N`` rejects with a Retry-After of N seconds; ``leaves, STEP``
+    runs a step with the leaving header.
     """
-    name, _, told = step.partition(_LEAVES)
-    if told:
+    name, _, inner_step = step.partition(_LEAVING_PREFIX)
+    if inner_step:
         leaving = f'\r\n{NAMES.leaving}: 1\r\n'.encode()
-        return _bytes(told, arrival).replace(b'\r\n', leaving, 1)
-    name, _, rest = step.partition(' for ')
-    if name in _TURNED_AWAY:
+        return _answer_bytes(inner_step, arrival).replace(b'\r\n', leaving, 1)
+    name, _, retry_after = step.partition(' for ')
+    if name in _REJECTIONS:
         return _answer(
             arrival,
-            _TURNED_AWAY[name],
-            **{NAMES.not_run: '1', 'Retry_After': rest},
+            _REJECTIONS[name],
+            **{NAMES.not_run: '1', 'Retry_After': retry_after},
         )
-    return _BYTES[step](arrival)
+    return _ANSWERS[step](arrival)
 
 
-def _answer(arrival: Arrival, status: str = '200 OK', **more: str) -> bytes:
+def _answer(
+    arrival: Arrival, status: str = '200 OK', **extra_headers: str
+) -> bytes:
     headers = {
         NAMES.request_id: arrival.headers[NAMES.request_id],
         NAMES.digest: 'd1',
         'Content-Length': str(len(BODY)),
     }
-    headers |= {name.replace('_', '-'): text for name, text in more.items()}
+    headers |= {
+        name.replace('_', '-'): text for name, text in extra_headers.items()
+    }
     lines = [f'{name}: {text}' for name, text in headers.items() if text]
     head = '\r\n'.join([f'HTTP/1.1 {status}', *lines])
     return head.encode() + b'\r\n\r\n' + BODY
@@ -202,32 +208,38 @@
     return _stream_head(arrival) + chunks + b'0\r\n\r\n'
 
 
-def _stream_cut(arrival: Arrival) -> bytes:
-    whole = _event(1) + _event(2)
-    half = _event(3)[:9]
-    return _stream_head(arrival) + _chunk(whole) + _chunk(half)
+def _truncated_stream(arrival: Arrival) -> bytes:
+    complete_events = _event(1) + _event(2)
+    partial_event = _event(3)[:9]
+    return (
+        _stream_head(arrival) + _chunk(complete_events) + _chunk(partial_event)
+    )
 
 
-# Before what an instance does that says in its answer that it leaves.
-_LEAVES = 'leaves, '
-_TURNED_AWAY = {
+# Prefix of steps whose answers announce that the instance leaves.
+_LEAVING_PREFIX = 'leaves, '
+_REJECTIONS = {
     'rest': '503 Service Unavailable',
     'slow down': '429 Too Many Requests',
 }
-_BYTES = {
+_ANSWERS = {
     'answer': _answer,
-    'fail': lambda one: _answer(one, '500 Internal Server Error'),
-    'busy': lambda one: _answer(one, '503 Service Unavailable'),
-    'not run': lambda one: _answer(
-        one, '503 Service Unavailable', **{NAMES.not_run: '1'}
+    'fail': lambda arrival: _answer(arrival, '500 Internal Server Error'),
+    'busy': lambda arrival: _answer(arrival, '503 Service Unavailable'),
+    'not run': lambda arrival: _answer(
+        arrival, '503 Service Unavailable', **{NAMES.not_run: '1'}
+    ),
+    'misdirected': lambda arrival: _answer(arrival, '421 Misdirected Request'),
+    'unsigned': lambda arrival: _answer(arrival, **{NAMES.digest: ''}),
+    'cut': lambda arrival: _answer(arrival, Content_Length='999'),
+    'unframed': lambda arrival: _answer(arrival, Content_Length=''),
+    'garbage': lambda arrival: b'\x00\x01 no answer\r\n\r\n',
+    'foreign, then answer': lambda arrival: (
+        _foreign(arrival) + _answer(arrival)
+    ),
+    'answer, then foreign': lambda arrival: (
+        _answer(arrival) + _foreign(arrival)
     ),
-    'misdirected': lambda one: _answer(one, '421 Misdirected Request'),
-    'unsigned': lambda one: _answer(one, **{NAMES.digest: ''}),
-    'cut': lambda one: _answer(one, Content_Length='999'),
-    'unframed': lambda one: _answer(one, Content_Length=''),
-    'garbage': lambda one: b'\x00\x01 no answer\r\n\r\n',
-    'foreign, then answer': lambda one: _foreign(one) + _answer(one),
-    'answer, then foreign': lambda one: _answer(one) + _foreign(one),
     'stream': _stream,
-    'stream cut': _stream_cut,
+    'stream cut': _truncated_stream,
 }
--- a/features/support/log_capture.py
+++ b/features/support/log_capture.py
@@ -1,4 +1,4 @@
-"""What is logged while a test runs."""
+"""Capture of log events in tests."""
 
 import contextlib
 from unittest import mock
@@ -7,12 +7,12 @@
 
 
 @contextlib.contextmanager
-def taken():
-    """Return a list that takes each line's event name and fields."""
-    lines = []
+def captured_events():
+    """Yield a list that collects the event name and fields of each line."""
+    captured = []
 
     def emit(event, **fields):
-        lines.append((event.name, fields))
+        captured.append((event.name, fields))
 
     with mock.patch.object(logs, 'emit', emit):
-        yield lines
+        yield captured
