--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the allowance for offers beyond the first."""
+"""Steps for the retry budget of gateways."""
 
 import random
 
@@ -17,7 +17,7 @@
 def step_gateways(context, count, ratio, extra):
     context.allowance = repeats.Allowance(ratio=ratio, extra=extra)
     context.known = count
-    context.budgets = make(context, count)
+    context.budgets = make_budgets(context, count)
     context.requests = 0
     context.repeated = 0
     context.now = 0.0
@@ -25,18 +25,18 @@
 
 @behave.when('each of them gets {count:d} requests, and all attempts fail')
 def step_all_fail(context, count):
-    send(context, count, fails=lambda number: True)
+    send_requests(context, count, fails=lambda number: True)
 
 
 @behave.when('each of them gets {count:d} requests, and one of them fails')
 def step_one_fails(context, count):
-    send(context, count, fails=lambda number: number == 0)
+    send_requests(context, count, fails=lambda number: number == 0)
 
 
 @behave.when('they restart without knowing the number of gateways')
-def step_anew(context):
+def step_restart(context):
     context.known = 0
-    context.budgets = make(context, len(context.budgets))
+    context.budgets = make_budgets(context, len(context.budgets))
 
 
 @behave.when('{per_s:d} requests a second arrive for {seconds:d} seconds')
@@ -47,14 +47,16 @@
         budgets.record_request(_SERVICE, context.now)
 
 
-@behave.when('{count:d} streams break at once, {most:d} at one gateway')
-def step_break(context, count, most):
-    hit = [0] * most
+@behave.when('{count:d} streams break at once, {at_one:d} at one gateway')
+def step_break(context, count, at_one):
+    gateway_numbers = [0] * at_one
     others = len(context.budgets) - 1
-    hit += [1 + number % others for number in range(count - most)]
+    gateway_numbers += [
+        1 + number % others for number in range(count - at_one)
+    ]
     context.repeated = sum(
         context.budgets[number].try_spend(_SERVICE, context.now)
-        for number in hit
+        for number in gateway_numbers
     )
 
 
@@ -64,82 +66,82 @@
 def step_random(context, count):
     context.over = []
     for seed in range(count):
-        context.over += play(context, random.Random(seed))
+        context.over += simulate(context, random.Random(seed))
 
 
 @behave.then('no budget window has more retries than allowed')
-def step_no_window(context):
+def step_windows_within(context):
     assert not context.over, context.over[:3]
 
 
-def play(context, chance):
-    """Play a minute of load; return the windows over the allowance."""
-    context.budgets = make(context, len(context.budgets))
+def simulate(context, rng):
+    """Simulate a minute of load; return the windows over the budget."""
+    context.budgets = make_budgets(context, len(context.budgets))
     sent, repeated = [], []
     now = 0.0
-    per_s = chance.choice((5, 30, 90))
-    failing = restart = 0.0
+    per_s = rng.choice((5, 30, 90))
+    failing_until = restarted_at = 0.0
     while now < 60.0:
-        now += chance.expovariate(per_s)
-        if chance.random() < 0.002:
-            failing = now + chance.uniform(0.5, 8.0)
-        if chance.random() < 0.0005 and now - restart > _WINDOW_S / 2:
-            context.budgets = make(context, len(context.budgets))
-            restart = now
-        budgets = chance.choice(context.budgets)
+        now += rng.expovariate(per_s)
+        if rng.random() < 0.002:
+            failing_until = now + rng.uniform(0.5, 8.0)
+        if rng.random() < 0.0005 and now - restarted_at > _WINDOW_S / 2:
+            context.budgets = make_budgets(context, len(context.budgets))
+            restarted_at = now
+        budgets = rng.choice(context.budgets)
         budgets.record_request(_SERVICE, now)
         sent.append(now)
         for _ in range(2):
-            if now < failing and budgets.try_spend(_SERVICE, now):
+            if now < failing_until and budgets.try_spend(_SERVICE, now):
                 repeated.append(now)
     return [
-        (at, found, most)
-        for at in (step * 0.5 for step in range(120))
-        if (found := within(repeated, at))
-        > (most := allowed(context, sent, at))
+        (begin, retries, limit)
+        for begin in (step * 0.5 for step in range(120))
+        if (retries := count_in_window(repeated, begin))
+        > (limit := allowed_retries(context, sent, begin))
     ]
 
 
-def within(times, begin):
-    """Return how many times lie in the window from a moment on."""
+def count_in_window(times, begin):
+    """Count the times in the window that starts at a time."""
     return sum(begin <= time < begin + _WINDOW_S for time in times)
 
 
-def allowed(context, sent, begin):
-    """Return what the operators allow in a window.
+def allowed_retries(context, sent, begin):
+    """Return the number of retries that are allowed in a window.
 
-    The requests are those of the window, of the one before, or of the one
-    half a window before, whichever has most.
+    It is based on the requests of the window, of the previous window or of
+    the window half a length earlier, whichever has most.
     """
-    most = max(
-        within(sent, begin - shift)
+    requests = max(
+        count_in_window(sent, begin - shift)
         for shift in (0.0, _WINDOW_S / 2, _WINDOW_S)
     )
-    return context.allowance.ratio * most + context.allowance.extra
+    return context.allowance.ratio * requests + context.allowance.extra
 
 
 @behave.then('the retries are within the budget')
 def step_within(context):
     allowance = context.allowance
-    most = allowance.ratio * context.requests + allowance.extra
-    assert context.repeated <= most, (context.repeated, most)
+    limit = allowance.ratio * context.requests + allowance.extra
+    assert context.repeated <= limit, (context.repeated, limit)
 
 
 @behave.then('{count:d} requests are retried')
-def step_once_more(context, count):
+def step_retried(context, count):
     assert context.repeated == count, context.repeated
 
 
-def make(context, count):
-    """Return the budgets of some gateways that have just started."""
+def make_budgets(context, count):
+    """Return the budgets of newly started gateways."""
     return [
         repeats.RetryBudgets(context.allowance, lambda: context.known)
         for _ in range(count)
     ]
 
 
-def send(context, count, fails):
-    """Send requests to each gateway; repeat those that fail if it may."""
+def send_requests(context, count, fails):
+    """Send requests to each gateway; retry failed ones within the budget."""
     for budgets in context.budgets:
         for number in range(count):
             budgets.record_request(_SERVICE, context.now)
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the choice among many instances."""
+"""Steps for the choice among many instances."""
 
 import contextlib
 
@@ -34,16 +34,16 @@
 @behave.then('no instance exceeds its load bound under a hot subject')
 def step_bound(context):
     async def place():
-        choice = choices.make_balancer('g-1', 'thu-duc', {})
+        balancer = choices.make_balancer('g-1', 'thu-duc', {})
         listed = pb.Instances(number=1)
         for place in context.places:
             listed.instances.add(id=place, service='llm', place=place)
-        choice.update(listed, {}, 0.0)
+        balancer.update(listed, {}, 0.0)
         with contextlib.ExitStack() as held:
             for _ in range(200):
-                found = choice.choose('llm', context.prompts[0], ())
-                held.enter_context(choice.track(found.instance))
-            return dict(choice.running)
+                choice = balancer.choose('llm', context.prompts[0], ())
+                held.enter_context(balancer.track(choice.instance))
+            return dict(balancer.running)
 
     running = context.run(place())
     mean = sum(running.values()) / len(context.places)
--- a/features/steps/domain_steps.py
+++ b/features/steps/domain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about failure domains and regions, on a virtual clock."""
+"""Steps for failure domains and regions, on a virtual clock."""
 
 import asyncio
 import contextlib
@@ -13,14 +13,14 @@
 _REGION = frozenset({'hcm'})
 
 
-class Setting:
-    """A gateway's choice among instances in several failure domains."""
+class DomainFixture:
+    """A balancer with instances in several failure domains."""
 
     def __init__(self, domains, count):
         self.loop = simulation.VirtualLoop()
         self.domains = domains
         self.regions = {}
-        self.held = contextlib.ExitStack()
+        self.held_requests = contextlib.ExitStack()
         self.balancer = choices.make_balancer('g-1', domains[0], self.regions)
         self.balancer.set_cold_limits(
             {
@@ -29,54 +29,56 @@
                 )
             }
         )
-        self.listed = choices.instance_list(
+        self.instance_list = choices.instance_list(
             {
                 f'{domain}-{number}': domain
                 for domain in domains
                 for number in range(count)
             }
         )
-        self.run(self._tell())
+        self.run(self._apply_list())
 
     def run(self, coroutine):
-        """Run something on the virtual clock."""
+        """Run a coroutine on the virtual clock."""
         return self.loop.run_until_complete(coroutine)
 
-    async def _tell(self):
+    async def _apply_list(self):
         self.balancer.set_gateways(['g-1', 'g-2'])
-        self.balancer.update(self.listed, {}, 0.0)
+        self.balancer.update(self.instance_list, {}, 0.0)
 
     async def evacuate(self, domains):
-        """Tell the balancer which domains are evacuated."""
+        """Set the evacuated domains."""
         self.balancer.set_evacuated(frozenset(domains))
 
     async def send(self, count, regions=None, kinds=(True, False)):
-        """Choose for many requests, each of which ends at once."""
-        made = []
+        """Choose instances for requests that end at once."""
+        chosen = []
         for number in range(count):
             has_prompt = kinds[number % len(kinds)]
             parts = choices.prompt_parts(f's-{number}') if has_prompt else ()
             choice = self.balancer.choose(choices.SERVICE, parts, (), regions)
             with self.balancer.track(choice.instance):
-                made.append(choice)
-        return made
+                chosen.append(choice)
+        return chosen
 
     async def fill(self, count, subjects):
-        """Choose for requests that stay; return the load each met."""
-        met = []
+        """Choose for requests that keep running; return loads and means."""
+        loads = []
         for number in range(count):
             parts = choices.prompt_parts(f's-{number % subjects}')
             choice = self.balancer.choose(choices.SERVICE, parts, ())
             running = self.balancer.running
-            mean = running.total() / len(self.listed.instances)
-            met.append((running[choice.instance.id], mean))
-            self.held.enter_context(self.balancer.track(choice.instance))
-        return met
+            mean_load = running.total() / len(self.instance_list.instances)
+            loads.append((running[choice.instance.id], mean_load))
+            self.held_requests.enter_context(
+                self.balancer.track(choice.instance)
+            )
+        return loads
 
 
 @behave.given('a balancer with {count:d} instances in each of {domains}')
-def step_choice(context, count, domains):
-    context.fixture = Setting(domains.split(', '), count)
+def step_balancer(context, count, domains):
+    context.fixture = DomainFixture(domains.split(', '), count)
 
 
 @behave.given('thu-duc is in hcm, and the others in danang')
@@ -92,7 +94,7 @@
 
 
 @behave.when('thu-duc is restored')
-def step_taken_back(context):
+def step_restored(context):
     context.fixture.run(context.fixture.evacuate(()))
 
 
@@ -111,18 +113,18 @@
 
 @behave.then('no chosen instance had more than twice the mean load plus 3')
 def step_bound(context):
-    over = [one for one in context.met if one[0] > 2 * one[1] + 3]
+    over = [load for load in context.met if load[0] > 2 * load[1] + 3]
     assert not over, over
 
 
 @behave.then('{count:d} requests with and without prompts go to {domains}')
-def step_go(context, count, domains):
+def step_chosen_domains(context, count, domains):
     context.choices = context.fixture.run(context.fixture.send(count))
     assert _domains(context.choices) == set(domains.split(', '))
 
 
 @behave.then('{count:d} requests for hcm go to {domains}')
-def step_go_home(context, count, domains):
+def step_chosen_domains_in_region(context, count, domains):
     fixture = context.fixture
     context.choices = fixture.run(fixture.send(count, _REGION))
     assert _domains(context.choices) == set(domains.split(', '))
@@ -141,11 +143,13 @@
 @behave.then(
     'of {count:d} requests with prompts at most {most:d} go to thu-duc at once'
 )
-def step_few(context, count, most):
+def step_chosen_rarely(context, count, most):
     fixture = context.fixture
-    made = fixture.run(fixture.send(count, kinds=(True,)))
-    found = sum(one.instance.domain == 'thu-duc' for one in made)
-    assert found <= most, found
+    chosen = fixture.run(fixture.send(count, kinds=(True,)))
+    count_in_domain = sum(
+        choice.instance.domain == 'thu-duc' for choice in chosen
+    )
+    assert count_in_domain <= most, count_in_domain
 
 
 @behave.then('a request is refused as not run, with a retry time')
@@ -154,7 +158,7 @@
 
 
 @behave.then('a request for hcm is refused as not run, with a retry time')
-def step_refused_home(context):
+def step_refused_in_region(context):
     _check_refused(context.fixture, _REGION)
 
 
@@ -168,9 +172,11 @@
     raise AssertionError('it was sent')
 
 
-def _domains(made):
-    return {one.instance.domain for one in made}
+def _domains(chosen):
+    return {choice.instance.domain for choice in chosen}
 
 
-def _source_domains(made):
-    return {one.source.domain for one in made if one.source is not None}
+def _source_domains(chosen):
+    return {
+        choice.source.domain for choice in chosen if choice.source is not None
+    }
--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -1,4 +1,4 @@
-"""Steps about instances that end, and what a gateway sees of it."""
+"""Steps for the detection of ended instances."""
 
 import asyncio
 
@@ -54,13 +54,13 @@
 @behave.then(
     '{ends:d} ends of instances are detected, with {requests:d} requests'
 )
-def step_seen(context, ends, requests):
+def step_ends_detected(context, ends, requests):
     counters = context.fixture.counters
-    found = (
+    counts = (
         counters.counter('instances_ended'),
         counters.counter('requests_under_ends'),
     )
-    assert found == (ends, requests), found
+    assert counts == (ends, requests), counts
 
 
 @behave.given('an end detector')
@@ -89,7 +89,7 @@
 
 
 @behave.then('{count:d} of them are attributed to its end')
-def step_under(context, count):
+def step_attributed(context, count):
     [requests] = context.under
     assert len(requests) == count, len(requests)
 
@@ -106,23 +106,23 @@
     'another of the account "{account}" for "{target}" with "{body}" is {same}'
 )
 def step_same(context, account, target, body, same):
-    found = _fingerprint(account, target, body) == context.fingerprint
-    assert found == (same == 'the same'), found
+    is_same = _fingerprint(account, target, body) == context.fingerprint
+    assert is_same == (same == 'the same'), is_same
 
 
 def _fingerprint(account, target, body):
-    sent = b'' if body == _NO_BODY else body.encode()
-    return fingerprints.compute(account, _HOST, target, sent)
+    body_bytes = b'' if body == _NO_BODY else body.encode()
+    return fingerprints.compute(account, _HOST, target, body_bytes)
 
 
 def _arrived_at(fixture):
     """Return the names of the instances that got requests."""
-    return tuple({one.instance for one in fixture.script.arrivals})
+    return tuple({arrival.instance for arrival in fixture.script.arrivals})
 
 
 async def _send_different(fixture, count):
     fixture.apply_instances(
-        gone=tuple(one.name for one in fixture.instances[1:])
+        gone=tuple(instance.name for instance in fixture.instances[1:])
     )
     async with asyncio.TaskGroup() as group:
         for number in range(count):
@@ -131,13 +131,15 @@
 
 
 async def _leave_and_end(fixture):
-    asked = asyncio.create_task(_ask(fixture, '/r/x'))
+    request = asyncio.create_task(_ask(fixture, '/r/x'))
     await _until_arrived(fixture, 1)
     [name] = _arrived_at(fixture)
     fixture.apply_instances(leaving=(name,))
-    [instance] = [one for one in fixture.instances if one.name == name]
+    [instance] = [
+        candidate for candidate in fixture.instances if candidate.name == name
+    ]
     instance.crash()
-    await asked
+    await request
 
 
 async def _until_arrived(fixture, count):
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the gateway, with instances that follow a script."""
+"""Steps for a gateway with scripted instances."""
 
 import asyncio
 import json
@@ -24,11 +24,11 @@
 _OBJECTIVE_MS = 200
 _GAP_MS = 100
 _LEASE_MS = 60_000
-_SOON_S = 0.5
+_EVENT_TIMEOUT_S = 0.5
 
 
 class GatewayFixture:
-    """One gateway, a few instances, and what a caller got."""
+    """A gateway and its scripted instances."""
 
     def __init__(
         self, steps: list[str], extra: float = 1000.0, count: int = 3
@@ -55,20 +55,20 @@
         )
         self.tree = supervisor.Supervisor('g-1')
         self.version = 0
-        self.number = 0
+        self.list_number = 0
 
     async def start(self, kind: str) -> None:
         await self.start_unconfigured()
         self.make_ready(kind)
 
     async def start_unconfigured(self, opened=None) -> None:
-        """Start everything; the gateway knows nothing yet."""
+        """Start gateway and instances without configuration or lease."""
         for instance in self.instances:
             await instance.start()
         await self.gateway.start(self.tree, opened)
 
     def make_ready(self, kind: str) -> None:
-        """Tell the gateway what it needs for serving."""
+        """Give the gateway a configuration, a lease and a list."""
         self.configure(kind)
         self.renew_lease(_LEASE_MS)
         self.apply_instances()
@@ -85,7 +85,7 @@
     def configure(
         self, kind: str, keys: tuple[str, ...] = (caller.KEY,)
     ) -> None:
-        """Put a configuration with one route in force."""
+        """Apply a configuration with one route."""
         self.version += 1
         semantics, _, resumable = kind.partition(' ')
         route = model.Route(
@@ -120,28 +120,34 @@
     def apply_instances(
         self, leaving: tuple[str, ...] = (), gone: tuple[str, ...] = ()
     ) -> None:
-        """Tell the gateway which instances there are."""
-        self.number += 1
-        listed = pb.Instances(number=self.number)
-        for one in self.instances:
-            if one.name in gone:
+        """Apply a new list of instances.
+
+        :param leaving: names of instances that are listed as leaving
+        :param gone: names of instances that are not listed
+        """
+        self.list_number += 1
+        instance_list = pb.Instances(number=self.list_number)
+        for instance in self.instances:
+            if instance.name in gone:
                 continue
-            listed.instances.add(
-                id=one.name,
+            instance_list.instances.add(
+                id=instance.name,
                 service='app',
-                address=one.address,
+                address=instance.address,
                 domain='thu-duc',
-                leaving=one.name in leaving,
+                leaving=instance.name in leaving,
                 slots=8,
-                place=one.name,
+                place=instance.name,
             )
-        self.gateway.state.apply_instances(listed)
+        self.gateway.state.apply_instances(instance_list)
         self.gateway.apply_state()
 
 
 @behave.given('a gateway for {kind} requests whose instances {steps}')
 def step_gateway(context, kind, steps):
-    context.fixture = GatewayFixture([one.strip() for one in steps.split(';')])
+    context.fixture = GatewayFixture(
+        [step.strip() for step in steps.split(';')]
+    )
     context.run(context.fixture.start(kind))
     context.to_stop.append(context.fixture.stop)
 
@@ -150,15 +156,15 @@
     'a gateway without a retry budget for {kind} requests whose instances '
     '{steps}'
 )
-def step_gateway_without(context, kind, steps):
-    named = [one.strip() for one in steps.split(';')]
-    context.fixture = GatewayFixture(named, extra=0.0)
+def step_gateway_without_budget(context, kind, steps):
+    script_steps = [step.strip() for step in steps.split(';')]
+    context.fixture = GatewayFixture(script_steps, extra=0.0)
     context.run(context.fixture.start(kind))
     context.to_stop.append(context.fixture.stop)
 
 
 @behave.given('a gateway that has just started')
-def step_fresh_gateway(context):
+def step_started_gateway(context):
     context.fixture = GatewayFixture(['answer'])
     context.run(context.fixture.start_unconfigured())
     context.to_stop.append(context.fixture.stop)
@@ -168,15 +174,15 @@
     'a caller with a deadline of {limit:d} ms sends a request, and the lease '
     'comes after {later:d} ms'
 )
-def step_early(context, limit, later):
+def step_send_before_lease(context, limit, later):
     async def send():
         loop = asyncio.get_running_loop()
         loop.call_later(later / 1000, context.fixture.make_ready, 'idempotent')
-        began = loop.time()
+        started_at = loop.time()
         context.response = await send_request(
             context.fixture, deadline_ms=limit
         )
-        context.took_s = loop.time() - began
+        context.took_s = loop.time() - started_at
         await asyncio.sleep(max(0.0, later / 1000 - context.took_s))
 
     context.run(send())
@@ -193,7 +199,7 @@
 
 
 @behave.when('the list arrives')
-def step_list(context):
+def step_list_arrives(context):
     async def tell():
         context.fixture.apply_instances()
 
@@ -202,8 +208,8 @@
 
 @behave.then('the gateway is not ready: {reason}')
 def step_not_ready(context, reason):
-    found = context.run(_not_ready(context.fixture))
-    assert found == reason, found
+    actual = context.run(_not_ready(context.fixture))
+    assert actual == reason, actual
 
 
 @behave.then('the gateway is ready')
@@ -218,7 +224,7 @@
 
 @behave.when('a caller sends {count:d} requests on one connection')
 def step_send_many(context, count):
-    context.responses = context.run(_ask_many(context.fixture, count))
+    context.responses = context.run(_send_requests(context.fixture, count))
 
 
 @behave.when('a caller sends a request with the key "{key}"')
@@ -234,12 +240,12 @@
 
 
 @behave.when('a caller disconnects while its request runs')
-def step_leave(context):
-    context.run(_leave(context.fixture))
+def step_disconnect(context):
+    context.run(_disconnect_early(context.fixture))
 
 
 @behave.when('its lease ends')
-def step_lease(context):
+def step_lease_ends(context):
     state = context.fixture.gateway.state
     state._lease_until = float('-inf')
 
@@ -260,12 +266,12 @@
 @behave.then('it gets {status:d}, and {count:d} requests arrived')
 def step_got(context, status, count):
     arrived = len(context.fixture.script.arrivals)
-    found = (context.response.status, arrived)
-    assert found == (status, count), (found, context.response)
+    actual = (context.response.status, arrived)
+    assert actual == (status, count), (actual, context.response)
 
 
 @behave.then('the answer is the complete answer of an instance')
-def step_whole(context):
+def step_complete(context):
     assert (
         context.response.is_complete
         and context.response.body == instances.BODY
@@ -274,24 +280,24 @@
 
 
 @behave.then("it contains nothing of an instance's answer")
-def step_own(context):
+def step_nothing_of_instance(context):
     assert _NAMES.digest not in context.response.headers, context.response
     assert instances.BODY not in context.response.body
 
 
 @behave.then('its error has "ran" set to {said}')
-def step_says(context, said):
+def step_reports_ran(context, said):
     error = json.loads(context.response.body)['error']
     assert str(error['ran']) == said, error
 
 
 @behave.then('it has a Retry-After')
-def step_retry_after(context):
+def step_has_retry_after(context):
     assert float(context.response.headers['Retry-After']) > 0, context.response
 
 
 @behave.then('it is told to reconnect elsewhere at once')
-def step_elsewhere(context):
+def step_reconnect_elsewhere(context):
     assert float(context.response.headers['Retry-After']) < 0.1, (
         context.response
     )
@@ -299,40 +305,44 @@
 
 
 @behave.then('its Retry-After is {first:d} to {last:d} ms')
-def step_back_in(context, first, last):
-    back_ms = float(context.response.headers['Retry-After']) * 1000
-    assert first <= back_ms <= last, context.response
+def step_retry_after_range(context, first, last):
+    retry_after_ms = float(context.response.headers['Retry-After']) * 1000
+    assert first <= retry_after_ms <= last, context.response
 
 
 @behave.then('it is answered within {most:d} ms')
-def step_within(context, most):
+def step_answered_within(context, most):
     assert context.took_s * 1000 <= most, context.took_s
 
 
 @behave.then('all get the complete answer of an instance')
-def step_all_whole(context):
-    for got in context.responses:
-        assert (got.status, got.body) == (200, instances.BODY), got
+def step_all_complete(context):
+    for response in context.responses:
+        assert (response.status, response.body) == (200, instances.BODY), (
+            response
+        )
 
 
 @behave.then('the caller has every event once, in order')
 def step_events(context):
     lines = context.response.body.decode().splitlines()
-    found = [line for line in lines if line.startswith('id:')]
-    wanted = [f'id: {number}' for number in range(1, instances.EVENTS + 1)]
-    assert context.response.is_complete and found == wanted, context.response
+    event_ids = [line for line in lines if line.startswith('id:')]
+    expected = [f'id: {number}' for number in range(1, instances.EVENTS + 1)]
+    assert context.response.is_complete and event_ids == expected, (
+        context.response
+    )
 
 
 @behave.then('the caller sees that the answer is incomplete')
-def step_not_whole(context):
+def step_incomplete(context):
     assert not context.response.is_complete, context.response
 
 
 @behave.then('the instance sees the disconnect within half a second')
-def step_seen(context):
+def step_disconnect_seen(context):
     async def wait():
         arrivals = context.fixture.script.arrivals
-        async with asyncio.timeout(_SOON_S):
+        async with asyncio.timeout(_EVENT_TIMEOUT_S):
             await arrivals[0].disconnected.wait()
 
     context.run(wait())
@@ -342,17 +352,19 @@
 def step_arrivals(context):
     for arrival in context.fixture.script.arrivals:
         assert arrival.headers[_NAMES.account] == 'district'
-        named = arrival.headers[_NAMES.expected_instance]
-        assert named == arrival.instance
+        expected_instance = arrival.headers[_NAMES.expected_instance]
+        assert expected_instance == arrival.instance
         assert 'Authorization' not in arrival.headers
-        left_ms = int(arrival.headers[_NAMES.deadline_ms])
-        assert 0 < left_ms <= _TIMEOUT_MS, left_ms
+        remaining_ms = int(arrival.headers[_NAMES.deadline_ms])
+        assert 0 < remaining_ms <= _TIMEOUT_MS, remaining_ms
 
 
 @behave.then('only {name} got requests')
-def step_only(context, name):
-    found = {one.instance for one in context.fixture.script.arrivals}
-    assert found == {name}, found
+def step_only_instance(context, name):
+    instance_names = {
+        arrival.instance for arrival in context.fixture.script.arrivals
+    }
+    assert instance_names == {name}, instance_names
 
 
 # -- the caller ----------------------------------------------------------
@@ -375,26 +387,26 @@
         writer.close()
 
 
-async def _ask_many(
+async def _send_requests(
     fixture: GatewayFixture, count: int
 ) -> list[caller.Response]:
     reader, writer = await asyncio.open_connection(
         *roles.split(fixture.address)
     )
-    found = []
+    responses = []
     for number in range(count):
         writer.write(
             caller.request(caller.KEY, '/r/x', caller.HOST, f'q-{number}')
         )
-        found.append(await caller.read(reader))
+        responses.append(await caller.read(reader))
     writer.close()
-    return found
+    return responses
 
 
-async def _leave(fixture: GatewayFixture) -> None:
+async def _disconnect_early(fixture: GatewayFixture) -> None:
     _, writer = await asyncio.open_connection(*roles.split(fixture.address))
     writer.write(caller.request(caller.KEY, '/r/x', caller.HOST))
-    async with asyncio.timeout(_SOON_S):
+    async with asyncio.timeout(_EVENT_TIMEOUT_S):
         while not fixture.script.arrivals:
             await asyncio.sleep(0.01)
     writer.close()
@@ -405,7 +417,7 @@
 
 
 @behave.then('the instance that rejected a request got no more')
-def step_left_alone(context):
+def step_rejecting_avoided(context):
     first, *others = context.fixture.script.arrivals
     assert others
-    assert first.instance not in {one.instance for one in others}
+    assert first.instance not in {arrival.instance for arrival in others}
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the prefixes of prompts that instances hold."""
+"""Steps for prompt prefixes that instances cache."""
 
 import asyncio
 
@@ -10,33 +10,33 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 
-class Setting:
-    """A balancer and the instances that it knows of."""
+class BalancerFixture:
+    """A balancer and its list of instances."""
 
     def __init__(self, names):
         self.balancer = choices.make_balancer('g-1', 'thu-duc', {})
         self.listed = {name: pb.Instance(place=name) for name in names}
         self.number = 0
         self.first = None
-        self.tell()
+        self.apply_list()
 
-    def tell(self):
-        """Tell the balancer which instances there are."""
+    def apply_list(self):
+        """Apply the list of instances to the balancer."""
         self.number += 1
-        news = pb.Instances(number=self.number)
-        for name, listed in self.listed.items():
-            news.instances.add(
+        instance_list = pb.Instances(number=self.number)
+        for name, entry in self.listed.items():
+            instance_list.instances.add(
                 id=name,
                 service=choices.SERVICE,
                 address=name,
                 domain='thu-duc',
-                leaving=listed.leaving,
-                place=listed.place,
+                leaving=entry.leaving,
+                place=entry.place,
             )
-        self.balancer.update(news, {}, 0.0)
+        self.balancer.update(instance_list, {}, 0.0)
 
-    def ranked(self, rank):
-        """Return the instance of a rank for a prompt of the subject."""
+    def ranked_instance(self, rank):
+        """Return the instance with a rank for a prompt of the subject."""
         places = list(
             prefixes.rank_places(choices.prompt_parts('subject'), self.listed)
         )
@@ -58,9 +58,9 @@
 
 
 @behave.given('a balancer with the instances {names}')
-def step_choice(context, names):
+def step_balancer(context, names):
     async def make():
-        context.fixture = Setting(names.split(', '))
+        context.fixture = BalancerFixture(names.split(', '))
         context.fixture.first = context.fixture.choose().instance
 
     context.run(make())
@@ -79,7 +79,7 @@
     async def leave():
         fixture = context.fixture
         fixture.listed[fixture.first.id].leaving = True
-        fixture.tell()
+        fixture.apply_list()
 
     context.run(leave())
 
@@ -90,7 +90,7 @@
         fixture = context.fixture
         fixture.listed[fixture.first.id].leaving = True
         fixture.listed['d'] = pb.Instance(place=fixture.first.place)
-        fixture.tell()
+        fixture.apply_list()
 
     context.run(replace())
 
@@ -99,7 +99,7 @@
 def step_gone(context):
     async def go():
         del context.fixture.listed[context.fixture.first.id]
-        context.fixture.tell()
+        context.fixture.apply_list()
 
     context.run(go())
 
@@ -114,10 +114,10 @@
 
 
 @behave.when('the gateway restarts')
-def step_start_anew(context):
+def step_restart(context):
     async def start():
         context.fixture.balancer = choices.make_balancer('g-1', 'thu-duc', {})
-        context.fixture.tell()
+        context.fixture.apply_list()
 
     context.run(start())
 
@@ -131,7 +131,7 @@
 def step_second_fails(context):
     async def fail():
         fixture = context.fixture
-        fixture.balancer.record_failure(fixture.ranked(1), 'HP-3104')
+        fixture.balancer.record_failure(fixture.ranked_instance(1), 'HP-3104')
 
     context.run(fail())
 
@@ -140,12 +140,12 @@
 def step_second_answers(context):
     fixture = context.fixture
     fixture.balancer.record_success(
-        fixture.ranked(1), choices.prompt_parts('another')
+        fixture.ranked_instance(1), choices.prompt_parts('another')
     )
 
 
 @behave.then('the next prompt of the subject goes there, and copies nothing')
-def step_there(context):
+def step_same_instance(context):
     choice = next_choice(context)
     assert choice.instance == context.fixture.first
     assert choice.source is None
@@ -154,10 +154,12 @@
 @behave.then(
     'the next prompt of the subject goes to another, and copies from the third'
 )
-def step_another(context):
+def step_other_instance(context):
     choice = next_choice(context)
-    named = {choice.instance.id, choice.source.id}
-    assert len(named) == 2 and context.fixture.first.id not in named, named
+    instance_ids = {choice.instance.id, choice.source.id}
+    assert (
+        len(instance_ids) == 2 and context.fixture.first.id not in instance_ids
+    ), instance_ids
 
 
 @behave.then(
@@ -184,8 +186,8 @@
 def check_source(context, rank):
     """Check that the next prompt goes to its first choice and copies."""
     choice = next_choice(context)
-    assert choice.instance.id == context.fixture.ranked(0).id
-    assert choice.source.id == context.fixture.ranked(rank).id
+    assert choice.instance.id == context.fixture.ranked_instance(0).id
+    assert choice.source.id == context.fixture.ranked_instance(rank).id
 
 
 def next_choice(context):
@@ -207,24 +209,24 @@
 
 @behave.then('the latest {kept:d} of them are remembered')
 def step_remembered(context, kept):
-    found = [
+    remembered = [
         number
         for number in range(context.count)
         if context.holders.holders_of(f'part-{number}')
     ]
-    assert found == list(range(context.count - kept, context.count))
+    assert remembered == list(range(context.count - kept, context.count))
 
 
 @behave.then(
     'the next prompt of the subject goes there again, and copies from its '
     'second choice'
 )
-def step_again(context):
+def step_same_instance_copies(context):
     async def check():
         fixture = context.fixture
-        found = fixture.choose()
-        assert found.instance.id == fixture.first.id, found
-        assert found.source is not None
-        assert found.source.id == fixture.ranked(1).id, found
+        choice = fixture.choose()
+        assert choice.instance.id == fixture.first.id, choice
+        assert choice.source is not None
+        assert choice.source.id == fixture.ranked_instance(1).id, choice
 
     context.run(check())
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what instances ask for, as the instances see it."""
+"""Steps for rests and departures of instances, observed at instances."""
 
 import asyncio
 import json
@@ -12,24 +12,24 @@
 from features.support import log_capture
 from honeyport.wire import honeyport_pb2 as pb
 
-# For what is on the wire when an instance asks for rest.
-_ON_THE_WIRE_S = 0.5
-# What all gateways are allowed on top, to what one of them uses of it that
-# does not know how many there are.
-_ALL_TO_ONE = 3 * 64
-_ROUNDING_S = 0.001  # of times in answers
-_SERVED = 200
-_REFUSED = 503
+# Requests in flight when an instance asks for rest may arrive this much later.
+_IN_FLIGHT_S = 0.5
+# Ratio of the fleet's retry budget to the share of one gateway that does not
+# know the number of gateways.
+_BUDGET_FACTOR = 3 * 64
+_ROUNDING_S = 0.001  # of times in answers, in seconds
+_OK = 200
+_UNAVAILABLE = 503
 
 
 @attrs.frozen
-class Got:
-    """What a caller got, and when it had asked.
+class TimedResponse:
+    """A response and when its request was sent.
 
-    :ivar at: in seconds of the steady clock
+    :ivar sent_at: time on the monotonic clock, in seconds
     """
 
-    at: float
+    sent_at: float
     took_s: float
     status: int
     body: bytes
@@ -40,7 +40,7 @@
 )
 def step_gateway(context, count, extra):
     context.fixture = gateway_steps.GatewayFixture(
-        ['answer'], extra=extra * _ALL_TO_ONE, count=count
+        ['answer'], extra=extra * _BUDGET_FACTOR, count=count
     )
     context.run(context.fixture.start('idempotent'))
     context.to_stop.append(context.fixture.stop)
@@ -48,36 +48,36 @@
 
 @behave.given('the instances {names} rest for {text} s')
 def step_some_rest(context, names, text):
-    _have_do(context, names.split(' and '), f'rest for {text}')
+    _set_step(context, names.split(' and '), f'rest for {text}')
 
 
 @behave.given('all instances rest for {text} s')
 def step_all_rest(context, text):
-    _have_do(context, _names(context), f'rest for {text}')
+    _set_step(context, _instance_names(context), f'rest for {text}')
 
 
 @behave.given(
     'the instances {names} announce in their answers that they leave'
 )
 def step_leave(context, names):
-    _have_do(context, names.split(' and '), 'leaves, answer')
+    _set_step(context, names.split(' and '), 'leaves, answer')
 
 
 @behave.given('the instances {names} announce that they leave and {step}')
 def step_leave_with(context, names, step):
-    _have_do(context, names.split(' and '), f'leaves, {step}')
+    _set_step(context, names.split(' and '), f'leaves, {step}')
 
 
 @behave.given('all instances announce that they leave and {step}')
 def step_all_leave(context, step):
-    _have_do(context, _names(context), f'leaves, {step}')
+    _set_step(context, _instance_names(context), f'leaves, {step}')
 
 
 @behave.given(
     'the instances {names} answer 429 with a Retry-After of {text} s'
 )
-def step_slow_down(context, names, text):
-    _have_do(context, names.split(' and '), f'slow down for {text}')
+def step_reject_429(context, names, text):
+    _set_step(context, names.split(' and '), f'slow down for {text}')
 
 
 @behave.when(
@@ -85,7 +85,7 @@
 )
 def step_load(context, per_s, seconds):
     with log_capture.captured_events() as context.lines:
-        context.run(_load(context, per_s, seconds))
+        context.run(_send_load(context, per_s, seconds))
 
 
 @behave.when(
@@ -93,7 +93,7 @@
     'does not'
 )
 def step_wait(context, count, ms):
-    context.run(_wait(context, count, ms / 1000))
+    context.run(_send_delayed(context, count, ms / 1000))
 
 
 @behave.then('{count:d} request has reached an instance')
@@ -103,7 +103,7 @@
 
 
 @behave.when('a new list of instances and a new configuration arrive')
-def step_anew(context):
+def step_new_state(context):
     async def tell():
         context.fixture.configure('idempotent')
         context.fixture.apply_instances()
@@ -113,9 +113,15 @@
 
 @behave.then('all callers of the first {ms:d} ms were served')
 def step_first_served(context, ms):
-    began = context.responses[0].at
-    early = [got for got in context.responses if got.at < began + ms / 1000]
-    assert early and all(got.status == _SERVED for got in early), early
+    first_sent_at = context.responses[0].sent_at
+    early_responses = [
+        response
+        for response in context.responses
+        if response.sent_at < first_sent_at + ms / 1000
+    ]
+    assert early_responses and all(
+        response.status == _OK for response in early_responses
+    ), early_responses
 
 
 @behave.then('each of {count:d} rests of {s:g} s is logged once')
@@ -126,21 +132,27 @@
         if name == 'rest_asked'
     ]
     assert len({name for name, *_ in rests}) == len(rests) == count, rests
-    assert {(asked, kept) for _, asked, kept in rests} == {(s, s)}, rests
+    assert {(asked_s, granted_s) for _, asked_s, granted_s in rests} == {
+        (s, s)
+    }, rests
 
 
 @behave.then('each request that reached a resting instance is logged')
-def step_explained(context):
-    used = [f for name, f in context.lines if name == 'resting_used']
-    late = _late(context, _asks, _ON_THE_WIRE_S)
-    assert len(used) >= len(late), (len(used), len(late))
-    for fields in used:
+def step_late_requests_logged(context):
+    logged = [
+        event_fields
+        for name, event_fields in context.lines
+        if name == 'resting_used'
+    ]
+    late = _late_arrivals(context, _asked_rest_s, _IN_FLIGHT_S)
+    assert len(logged) >= len(late), (len(logged), len(late))
+    for fields in logged:
         assert {'backend', 'rested_s'} <= fields.keys(), fields
 
 
 @behave.then('no request reaches a resting instance')
-def step_rested(context):
-    late = _late(context, _asks, _ON_THE_WIRE_S)
+def step_none_while_resting(context):
+    late = _late_arrivals(context, _asked_rest_s, _IN_FLIGHT_S)
     assert not late, (len(late), late[:5])
 
 
@@ -148,47 +160,51 @@
     'no request reaches an instance {seconds:d} seconds after it announced '
     'that it leaves'
 )
-def step_left(context, seconds):
-    late = _late(context, _leaves, seconds)
+def step_none_after_leaving(context, seconds):
+    late = _late_arrivals(context, _leaving_s, seconds)
     assert not late, (len(late), late[:5])
 
 
 @behave.then('all callers were served')
 def step_served(context):
-    refused = [got for got in context.responses if got.status != _SERVED]
+    failed = [
+        response for response in context.responses if response.status != _OK
+    ]
     total = len(context.responses)
-    assert not refused, (len(refused), total, refused[:2])
+    assert not failed, (len(failed), total, failed[:2])
 
 
 @behave.then(
     'refused callers get the end of the rest as retry time within '
     '{most_ms:d} ms'
 )
-def step_told_when(context, most_ms):
-    all_rest = [
-        got
-        for got in context.responses
-        if got.status == _REFUSED and b'rest' in got.body
+def step_refused_with_rest_end(context, most_ms):
+    rest_refusals = [
+        response
+        for response in context.responses
+        if response.status == _UNAVAILABLE and b'rest' in response.body
     ]
-    assert all_rest
-    for got in all_rest:
-        assert got.took_s < most_ms / 1000, got
-        error = json.loads(got.body)['error']
+    assert rest_refusals
+    for response in rest_refusals:
+        assert response.took_s < most_ms / 1000, response
+        error = json.loads(response.body)['error']
         assert error['ran'] is False, error
-        answered = got.at + got.took_s
-        back_at = answered + error['retry_after_s'] + _ROUNDING_S
-        ends = _first_end(context, answered)
-        assert back_at > ends, (back_at - ends, error)
+        answered_at = response.sent_at + response.took_s
+        retry_at = answered_at + error['retry_after_s'] + _ROUNDING_S
+        rest_ends_at = _first_rest_end(context, answered_at)
+        assert retry_at > rest_ends_at, (retry_at - rest_ends_at, error)
 
 
-def _first_end(context, at):
-    """Return when the first rest ends of those that are known at a moment."""
-    ends = {}
-    for one in context.fixture.script.arrivals:
-        if _asks(one) and 0 < one.answered_at < at:
-            until = one.answered_at + _rest_s(one)
-            ends[one.instance] = max(until, ends.get(one.instance, 0.0))
-    return min(ends.values())
+def _first_rest_end(context, before):
+    """Return the end of the first rest that was announced before a time."""
+    rest_end_by_instance = {}
+    for arrival in context.fixture.script.arrivals:
+        if _asked_rest_s(arrival) and 0 < arrival.answered_at < before:
+            rest_end = arrival.answered_at + _rest_s(arrival)
+            rest_end_by_instance[arrival.instance] = max(
+                rest_end, rest_end_by_instance.get(arrival.instance, 0.0)
+            )
+    return min(rest_end_by_instance.values())
 
 
 @behave.when('{seconds:d} seconds pass at the gateway')
@@ -197,22 +213,22 @@
 
 
 @behave.then('its reports name {names} as resting')
-def step_told(context, names):
-    wanted = [] if names == 'nothing' else names.split(' and ')
+def step_reported_resting(context, names):
+    expected = [] if names == 'nothing' else names.split(' and ')
     report = pb.Report()
 
     async def fill():
         context.fixture.gateway._fill_report(report)
 
     context.run(fill())
-    assert sorted(report.resting) == wanted, report.resting
+    assert sorted(report.resting) == expected, report.resting
 
 
-def _names(context):
-    return [one.name for one in context.fixture.instances]
+def _instance_names(context):
+    return [instance.name for instance in context.fixture.instances]
 
 
-def _have_do(context, names, step):
+def _set_step(context, names, step):
     context.fixture.script.step_by_instance |= dict.fromkeys(names, step)
 
 
@@ -220,38 +236,41 @@
     return float(arrival.step.partition(' for ')[2])
 
 
-def _asks(arrival):
-    """Return how long an instance rests after an arrival; 0 if not."""
+def _asked_rest_s(arrival):
+    """Return the rest that was asked for in an answer, in seconds, or 0."""
     return _rest_s(arrival) if ' for ' in arrival.step else 0.0
 
 
-def _leaves(arrival):
+def _leaving_s(arrival):
     return float('inf') if arrival.step.startswith('leaves') else 0.0
 
 
-def _late(context, lasts, grace_s):
-    """Return what reached an instance after it asked for something.
+def _late_arrivals(context, duration_of, grace_s):
+    """Return requests that arrived during a rest or after a departure.
 
-    :param lasts: returns for how long what an arrival got holds, in seconds
-    :param grace_s: the time until then that is not counted
+    :param duration_of: returns how long the signal of an arrival's answer
+        is in effect, in seconds
+    :param grace_s: time after the signal that is not counted, in seconds
     """
     arrivals = context.fixture.script.arrivals
     late = []
     for number, later in enumerate(arrivals):
-        waits = [
-            later.arrived_at - first.answered_at
-            for first in arrivals[:number]
-            if first.instance == later.instance
-            and first.answered_at
-            and grace_s < later.arrived_at - first.answered_at < lasts(first)
+        delays_s = [
+            later.arrived_at - earlier.answered_at
+            for earlier in arrivals[:number]
+            if earlier.instance == later.instance
+            and earlier.answered_at
+            and grace_s
+            < later.arrived_at - earlier.answered_at
+            < duration_of(earlier)
         ]
-        if waits:
-            late.append((later.instance, round(min(waits), 2)))
+        if delays_s:
+            late.append((later.instance, round(min(delays_s), 2)))
     return late
 
 
-async def _wait(context, count, wait_s):
-    """Send requests whose connections are late, and one before them."""
+async def _send_delayed(context, count, wait_s):
+    """Send requests with delayed connections, and one that overtakes them."""
     connections = context.fixture.gateway._pool
     acquire = connections.acquire
 
@@ -262,22 +281,24 @@
     async with asyncio.TaskGroup() as group:
         with mock.patch.object(connections, 'acquire', acquire_late):
             for _ in range(count):
-                group.create_task(_ask(context))
+                group.create_task(_send_timed(context))
             await asyncio.sleep(wait_s / 2)
-        group.create_task(_ask(context))
+        group.create_task(_send_timed(context))
 
 
-async def _load(context, per_s, seconds):
-    """Send requests at an even rate, whatever becomes of each."""
+async def _send_load(context, per_s, seconds):
+    """Send requests at a constant rate, independent of responses."""
     async with asyncio.TaskGroup() as group:
         tasks = []
         for _ in range(per_s * seconds):
-            tasks.append(group.create_task(_ask(context)))
+            tasks.append(group.create_task(_send_timed(context)))
             await asyncio.sleep(1 / per_s)
     context.responses = [task.result() for task in tasks]
 
 
-async def _ask(context):
-    at = time.monotonic()
-    got = await gateway_steps.send_request(context.fixture)
-    return Got(at, time.monotonic() - at, got.status, got.body)
+async def _send_timed(context):
+    sent_at = time.monotonic()
+    response = await gateway_steps.send_request(context.fixture)
+    return TimedResponse(
+        sent_at, time.monotonic() - sent_at, response.status, response.body
+    )
--- a/features/steps/smuggling_steps.py
+++ b/features/steps/smuggling_steps.py
@@ -7,7 +7,7 @@
 from features.support import instances
 from honeyport.settings import roles
 
-_WAIT_S = 0.6  # for an answer, and for what might arrive after it
+_WAIT_S = 0.6  # for an answer, and for requests that arrive after it
 _INNER = (
     b'POST /r/inner HTTP/1.1\r\nHost: yard.example\r\n'
     b'X-Request-Id: inner\r\nContent-Length: 0\r\n\r\n'
@@ -33,7 +33,7 @@
 
 
 def head():
-    """Return the start of a request, up to its length."""
+    """Return the start of a request, up to its framing headers."""
     names = instances.NAMES
     return (
         'POST /r/x HTTP/1.1\r\nHost: yard.example\r\n'
@@ -42,10 +42,10 @@
     ).encode()
 
 
-async def send(context, rest, *, ends):
-    """Send a request; return what came back.
+async def send(context, rest, *, is_last):
+    """Send a request; return the received bytes.
 
-    :param ends: whether the caller ends the connection behind it
+    :param is_last: whether the caller half-closes the connection after it
     """
     reader, writer = await asyncio.open_connection(
         *roles.split(context.fixture.address)
@@ -54,7 +54,7 @@
     try:
         async with asyncio.timeout(_WAIT_S):
             await writer.drain()
-            if ends:
+            if is_last:
                 writer.write_eof()
                 return await reader.read()
             return await reader.readuntil(b'\r\n')
@@ -67,14 +67,18 @@
 
 @behave.when('a caller sends a request with {framing}')
 def step_framing(context, framing):
-    context.back = context.run(send(context, _FRAMINGS[framing], ends=True))
+    context.response = context.run(
+        send(context, _FRAMINGS[framing], is_last=True)
+    )
 
 
 @behave.when('a caller sends a body that looks like a request')
 def step_inner(context):
     context.body = _INNER
     length = f'Content-Length: {len(_INNER)}\r\n\r\n'.encode()
-    context.back = context.run(send(context, length + _INNER, ends=False))
+    context.response = context.run(
+        send(context, length + _INNER, is_last=False)
+    )
 
 
 @behave.when('a caller sends a body in three chunks')
@@ -85,7 +89,7 @@
         for part in (b'one ', b'two ', b'three')
     )
     rest = b'Transfer-Encoding: chunked\r\n\r\n' + chunks + b'0\r\n\r\n'
-    context.back = context.run(send(context, rest, ends=False))
+    context.response = context.run(send(context, rest, is_last=False))
 
 
 @behave.when('a caller lists a header in Connection')
@@ -94,18 +98,18 @@
         b'Connection: keep-alive, X-Secret\r\nX-Secret: 1\r\n'
         b'Content-Length: 0\r\n\r\n'
     )
-    context.back = context.run(send(context, rest, ends=False))
+    context.response = context.run(send(context, rest, is_last=False))
 
 
 @behave.then('no request arrived, and the connection is closed or refused')
 def step_none_arrived(context):
     assert not context.fixture.script.arrivals, context.fixture.script.arrivals
-    assert b' 200 ' not in context.back.split(b'\r\n')[0], context.back
+    assert b' 200 ' not in context.response.split(b'\r\n')[0], context.response
 
 
 @behave.then('one request arrived, with that body')
 def step_one_arrived(context):
-    bodies = [one.body for one in context.fixture.script.arrivals]
+    bodies = [arrival.body for arrival in context.fixture.script.arrivals]
     assert bodies == [context.body], bodies
 
 
