--- a/src/honeyport/router/chat.py
+++ b/src/honeyport/router/chat.py
@@ -1,4 +1,4 @@
-"""Chats: ``POST /v1/chat/completions`` in the form that OpenAI made usual."""
+"""The chat API: ``POST /v1/chat/completions``, compatible with OpenAI's."""
 
 import hashlib
 import json
@@ -10,20 +10,22 @@
 from honeyport.router import edge
 
 _PATH = '/v1/chat/completions'
-_OPENING = 2  # messages that tell a chat without a name from another
+_IDENTIFYING_MESSAGES = (
+    2  # first messages, by which a chat without a name is identified
+)
 
 
 @edge.register(_PATH)
 class ChatHandler(edge.Handler):
-    """One turn of a chat."""
+    """Serves one turn of a chat."""
 
     async def post(self) -> None:
-        await self.serve(self._make)
+        await self.serve(self._build_call)
 
-    def _make(self) -> exchange.Call:
+    def _build_call(self) -> exchange.Call:
         body = _parse(self.request.body)
         service = self._service(body)
-        chat = self.header(edge.CHAT) or _opening(body)
+        chat = self.header(edge.CHAT) or _derive_chat_name(body)
         headers = (('Content-Type', 'application/json'),)
         return self.call(service, _PATH, chat, headers)
 
@@ -33,7 +35,7 @@
             raise errors.BadRequest('model: expected the name of a service')
         pool = self._services.state.pool(name)
         if pool.service.kind != model.ENGINE:
-            raise errors.UnknownService(f'{name} has no engines')
+            raise errors.UnknownService(f'{name} is not a service of engines')
         return name
 
 
@@ -49,7 +51,7 @@
     return body
 
 
-def _opening(body: dict[str, typing.Any]) -> str:
-    """Return a name for a chat that the caller gave none."""
-    text = json.dumps(body['messages'][:_OPENING], sort_keys=True)
+def _derive_chat_name(body: dict[str, typing.Any]) -> str:
+    """Return a name for a chat, derived from its first messages."""
+    text = json.dumps(body['messages'][:_IDENTIFYING_MESSAGES], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:32]
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -1,4 +1,4 @@
-"""A router as a process."""
+"""The process of a router."""
 
 import asyncio
 import contextlib
@@ -29,16 +29,16 @@
 from honeyport.wire import channels
 from honeyport.wire import honeyport_pb2_grpc as rpc
 
-# Imported for what they register.
+# Imported because they register clients and handlers.
 REGISTERED = (engine, plain, chat, discovery, services)
 
-_LARGEST_REQUEST = 16 * 1024 * 1024
+_MAX_REQUEST_BYTES = 16 * 1024 * 1024
 _STOP_GRACE_S = 0.2
-_POLL_S = 0.02
+_DRAIN_POLL_S = 0.02
 
 
 class Router:
-    """The parts of one router, and the order in which they stop."""
+    """Creates the parts of a router, and starts and stops them."""
 
     def __init__(self, settings: roles.Router) -> None:
         self._settings = settings
@@ -48,7 +48,7 @@
         self._gate = edge.Gate()
         self._tracer = traces.create(settings.traces, settings.name)
         self._suspects = suspects.SuspectTracker(self._counters)
-        self._steward = steward.AdmissionController(
+        self._admission = steward.AdmissionController(
             settings.name,
             self._state,
             self._counters,
@@ -58,38 +58,40 @@
         self._session = session.Session(
             settings,
             self._state,
-            self._steward.add_loads,
+            self._admission.add_loads,
             self._on_view,
-            self._on_news,
+            self._on_message,
             self._suspects,
             self._counters,
         )
         self._dispatcher = dispatch.Dispatcher(
             settings.name,
             self._state,
-            self._steward,
+            self._admission,
             self._links,
             self._counters,
         )
-        self._guard = claims.IdempotencyGuard(
+        self._idempotency_guard = claims.IdempotencyGuard(
             settings.name, self._state, self._session
         )
         self._backends_revision = 0
 
     @property
     def state(self) -> fleetstate.FleetState:
-        """What this router knows of the fleet."""
+        """The state of the fleet as known here."""
         return self._state
 
     @property
     def counters(self) -> metrics.Metrics:
-        """What this router counts."""
+        """The metrics of this router."""
         return self._counters
 
     async def start(self, tree: supervisor.Supervisor) -> None:
-        """Start serving under a supervisor."""
+        """Start all tasks and servers under a supervisor."""
         peers = channels.server()
-        rpc.add_PeerServicer_to_server(relay.PeerServicer(self._serve), peers)
+        rpc.add_PeerServicer_to_server(
+            relay.PeerServicer(self._serve_peer), peers
+        )
         redirector.register(peers, self._session, beside_replica=False)
         peers.add_insecure_port(self._settings.peer_listen)
         await peers.start()
@@ -97,89 +99,92 @@
         tree.on_stop('peers', lambda: peers.stop(_STOP_GRACE_S))
         tree.task('session', self._session.run)
         tree.on_stop('steward', self._close_steward)
-        tree.task('settle', self._steward.run_admission)
-        tree.task('probes', self._steward.run_probes)
+        tree.task('settle', self._admission.run_admission)
+        tree.task('probes', self._admission.run_probes)
         server = self._listen()
         tree.on_stop('http', supervisor.closer(server))
         tree.on_stop('drain', self._drain)
-        self._expose()
+        self._register_gauges()
 
     def _listen(self) -> httpserver.HTTPServer:
-        parts = edge.Services(
+        handler_services = edge.Services(
             name=self._settings.name,
             state=self._state,
             dispatcher=self._dispatcher,
-            guard=self._guard,
+            guard=self._idempotency_guard,
             tracer=self._tracer,
             counters=self._counters,
             gate=self._gate,
         )
         application = web.Application(
             [
-                *edge.routes(parts),
-                *status.routes(self._counters, self._ready),
+                *edge.routes(handler_services),
+                *status.routes(self._counters, self._not_ready_reason),
             ],
             log_function=lambda _: None,
         )
         host, port = roles.split(self._settings.listen)
-        return application.listen(port, host, max_body_size=_LARGEST_REQUEST)
+        return application.listen(port, host, max_body_size=_MAX_REQUEST_BYTES)
 
     async def _drain(self) -> None:
-        """Leave: no new work, finish what runs, hand engines over."""
+        """Refuse new requests, finish the others, hand over backend servers.
+
+        Gives up after the drain time of the settings.
+        """
         self._gate.close()
         self._session.announce_leaving()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._settings.drain_s):
                 await self._gate.wait_idle()
-                await self._guard.finish()
-                await self._handed_over()
+                await self._idempotency_guard.finish()
+                await self._wait_handed_over()
 
-    async def _handed_over(self) -> None:
-        """Wait until the fleet has a view without us, and all is done."""
-        while self._steward.running or (
+    async def _wait_handed_over(self) -> None:
+        """Wait until no request runs and the view excludes this router."""
+        while self._admission.running or (
             self._session.attached
             and self._settings.name in self._state.members
             and len(self._state.members) > 1
         ):
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_DRAIN_POLL_S)
         await asyncio.sleep(self._state.timing.report_ms / 1000)
 
-    async def _serve(
+    async def _serve_peer(
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
-        """Answer a call from a peer."""
+        """Serve a call from a peer."""
         with self._tracer.span('steward', call.parent, backend=backend):
-            answer = self._steward.answer(call, backend)
+            answer = self._admission.answer(call, backend)
             async with contextlib.aclosing(answer):
                 async for frame in answer:
                     yield frame
 
     async def _close_steward(self) -> None:
-        self._steward.close()
+        self._admission.close()
 
-    def _on_news(self) -> None:
-        """Bring slots in line with what control said."""
+    def _on_message(self) -> None:
+        """Apply a message from control to the backend servers owned here."""
         if self._backends_revision != self._state.backends_revision:
             self._backends_revision = self._state.backends_revision
-            self._steward.sync_servers()
-        self._steward.on_state_changed()
+            self._admission.sync_servers()
+        self._admission.on_state_changed()
 
-    def _on_view(self, followed: bool) -> None:
-        self._steward.on_view_applied(followed)
+    def _on_view(self, is_consecutive: bool) -> None:
+        self._admission.on_view_applied(is_consecutive)
         task = asyncio.create_task(self._links.retain(self._state.peers))
-        self._closing = task
+        self._close_links_task = task
 
     def _report_soon(self) -> None:
         self._session.report_soon()
 
-    def _ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         if self._gate.is_closed:
             return 'leaving'
         if not self._state.version:
             return 'no configuration yet'
-        return '' if self._state.lease_left > 0 else 'cut off from control'
+        return '' if self._state.lease_left > 0 else 'no valid lease'
 
-    def _expose(self) -> None:
+    def _register_gauges(self) -> None:
         gauge = self._counters.gauge
         gauge('config_version', lambda: self._state.version)
         gauge('view', lambda: self._state.view)
@@ -188,7 +193,7 @@
 
 
 async def start(settings: roles.Router, tree: supervisor.Supervisor) -> Router:
-    """Start a router under a supervisor."""
+    """Create a router, start it under a supervisor and return it."""
     router = Router(settings)
     await router.start(tree)
     return router
--- a/src/honeyport/router/discovery.py
+++ b/src/honeyport/router/discovery.py
@@ -1,18 +1,18 @@
-"""Which address to use: ``GET /v1/addresses``.
+"""The address discovery API: ``GET /v1/addresses``.
 
-The first address is the steward's of the chat's engine, so a caller that
-asks first needs no hop behind it.
+The first address is that of the router that owns the chat's first backend
+server. A request that is sent there needs no hop to another router.
 """
 
 from honeyport import errors
 from honeyport.router import edge
 
-_MOST = 3
+_MAX_ADDRESSES = 3
 
 
 @edge.register('/v1/addresses')
 class AddressHandler(edge.Handler):
-    """Addresses for a service and a chat, the best one first."""
+    """Serves the routers' addresses for a service and a chat, best first."""
 
     def get(self) -> None:
         try:
@@ -30,8 +30,8 @@
         chat = self.get_argument('chat', '')
         hint = self.get_argument('placement', '')
         bundle = state.bundle
-        names = services.dispatcher.candidates(service, chat, hint)
-        routers = dict.fromkeys(state.owner(name) for name in names)
+        backends = services.dispatcher.candidates(service, chat, hint)
+        routers = dict.fromkeys(state.owner(name) for name in backends)
         for router in state.members:
             routers.setdefault(router)
         addresses = [
@@ -40,9 +40,9 @@
             if router in state.members
         ]
         if not addresses:
-            raise errors.NotReady('no router may serve', retry_after=1.0)
+            raise errors.NotReady('no router is in the view', retry_after=1.0)
         return {
-            'addresses': addresses[:_MOST],
+            'addresses': addresses[:_MAX_ADDRESSES],
             'ttl_s': bundle.timing.address_ttl_s,
-            'placement': names[0] if names else '',
+            'placement': backends[0] if backends else '',
         }
--- a/src/honeyport/router/frames.py
+++ b/src/honeyport/router/frames.py
@@ -1,4 +1,4 @@
-"""Calls and frames as messages between routers."""
+"""Encoding of calls and answer frames as messages between routers."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def encode_call(call: exchange.Call, backend: str) -> pb.Open:
-    """Return the message that opens a stream."""
+    """Return the message that opens a stream for a call."""
     return pb.Open(
         request_id=call.request_id,
         attempt=call.attempt,
@@ -31,7 +31,10 @@
 
 
 def decode_call(message: pb.Open) -> exchange.Call:
-    """Return the call of a message."""
+    """Return the call that a message opens a stream for.
+
+    Its deadline counts from now, so that clocks need not agree.
+    """
     now = asyncio.get_running_loop().time()
     return exchange.Call(
         request_id=message.request_id,
@@ -54,7 +57,7 @@
 
 
 def encode_frame(stream: int, frame: exchange.Frame) -> pb.Frame:
-    """Return the message of a frame."""
+    """Return the message for a frame of an answer."""
     if isinstance(frame, exchange.Data):
         data = pb.Data(number=frame.number, payload=frame.payload)
         return pb.Frame(stream=stream, data=data)
@@ -70,25 +73,25 @@
 
 
 def decode_frame(message: pb.Frame) -> exchange.Frame:
-    """Return the frame of a message.
+    """Return the frame in a message.
 
-    :raises errors.HoneyportError: if it says that the call failed
+    :raises errors.HoneyportError: if the message says that the call failed
     """
-    kind = message.WhichOneof('body')
-    if kind == 'data':
+    body_type = message.WhichOneof('body')
+    if body_type == 'data':
         return exchange.Data(message.data.number, message.data.payload)
-    if kind == 'head':
+    if body_type == 'head':
         head = message.head
         return exchange.Head(
             head.status, _decode_headers(head.headers), head.backend
         )
-    if kind == 'end':
+    if body_type == 'end':
         return exchange.End(message.end.frames, message.end.length)
     raise decode_failure(message.failure)
 
 
 def encode_failure(stream: int, error: errors.HoneyportError) -> pb.Frame:
-    """Return the message of an error."""
+    """Return the message that ends a stream with an error."""
     failure = pb.Failure(
         code=error.code,
         detail=error.detail,
@@ -99,7 +102,7 @@
 
 
 def decode_failure(message: pb.Failure) -> errors.HoneyportError:
-    """Return the error of a message."""
+    """Return the error in a message."""
     error = errors.by_code(message.code)(
         message.detail, retry_after=message.retry_after_s or None
     )
@@ -112,4 +115,4 @@
 
 
 def _decode_headers(headers: object) -> exchange.Headers:
-    return tuple((one.name, one.value) for one in headers)
+    return tuple((header.name, header.value) for header in headers)
--- a/src/honeyport/router/prefix_transfer.py
+++ b/src/honeyport/router/prefix_transfer.py
@@ -1,10 +1,10 @@
-"""Moving warm prefixes away from an engine that leaves as planned.
+"""Transfer of cached prefixes from an engine that is shutting down.
 
-The steward of an engine remembers which chats it served last. When the
-engine is leaving, it exports their prefixes and imports each into the
-engine that the chat's next turn will go to. A chat whose prefix the
-engine has dropped meanwhile (it says so, late and with gaps) is left out.
-A prefix that cannot be moved costs a miss, nothing else.
+The owner of an engine remembers the chats that the engine served last. When
+the engine is leaving, the owner exports their prefixes and imports each one
+into the engine that will get the chat's next turn. Chats are skipped if the
+engine reported their prefixes as evicted; these reports may be incomplete. A
+prefix that is not transferred only causes a cache miss.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 class RecentChats:
     """The chats that an engine served last, the latest at the end.
 
-    :param most: how many are remembered
+    :param max_chats: the most chats that are remembered
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_chats: int) -> None:
+        self._max_chats = max_chats
         self._chats: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
@@ -35,34 +35,34 @@
 
     @property
     def last_event(self) -> int:
-        """The number of the last cache event that was taken in."""
+        """The number of the last cache event that was applied."""
         return self._last_event
 
     def __len__(self) -> int:
         return len(self._chats)
 
     def add(self, chat: str) -> None:
-        """Remember that a chat was served."""
+        """Add a chat that was served."""
         self._chats[chat] = None
         self._chats.move_to_end(chat)
-        while len(self._chats) > self._most:
+        while len(self._chats) > self._max_chats:
             self._chats.popitem(last=False)
 
-    def remove_evicted(self, found: engine.CacheEvents) -> None:
-        """Forget what the engine has dropped."""
-        self._last_event = max(self._last_event, found.last)
-        for chat in found.evicted:
+    def remove_evicted(self, cache_events: engine.CacheEvents) -> None:
+        """Remove the chats whose prefixes the engine has evicted."""
+        self._last_event = max(self._last_event, cache_events.last)
+        for chat in cache_events.evicted:
             self._chats.pop(chat, None)
 
     def pop_all(self) -> list[str]:
-        """Return all, the latest first, and forget them."""
+        """Remove and return all chats, the latest first."""
         chats = list(reversed(self._chats))
         self._chats.clear()
         return chats
 
 
 class PrefixTransfers:
-    """Moves prefixes, a few at a time."""
+    """Transfers prefixes between engines, with limited concurrency."""
 
     def __init__(
         self, state: fleetstate.FleetState, counters: metrics.Metrics
@@ -72,29 +72,34 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(
-        self, name: str, backend: model.Backend, hot: RecentChats
+        self, name: str, backend: model.Backend, recent_chats: RecentChats
     ) -> None:
-        """Begin to move the prefixes of an engine that leaves."""
-        chats = hot.pop_all()
+        """Start to transfer the prefixes of an engine that is leaving.
+
+        :param recent_chats: its recent chats; empty afterwards
+        """
+        chats = recent_chats.pop_all()
         if not chats:
             return
-        task = asyncio.create_task(self._move_all(name, backend, chats))
+        task = asyncio.create_task(self._transfer_all(name, backend, chats))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def finish(self) -> None:
-        """Wait for the moves under way."""
+        """Wait for all transfers to end."""
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    async def _move_all(
+    async def _transfer_all(
         self, name: str, backend: model.Backend, chats: list[str]
     ) -> None:
         source = engine.EngineClient(name, backend.address)
-        room = asyncio.Semaphore(self._state.bundle.limits.transfers_at_once)
+        semaphore = asyncio.Semaphore(
+            self._state.bundle.limits.transfers_at_once
+        )
         moved = await asyncio.gather(
             *(
-                self._move(source, backend.service, name, chat, room)
+                self._transfer(source, backend.service, name, chat, semaphore)
                 for chat in chats
             )
         )
@@ -106,17 +111,17 @@
             chats=len(chats),
         )
 
-    async def _move(
+    async def _transfer(
         self,
         source: engine.EngineClient,
         service: str,
         name: str,
         chat: str,
-        room: asyncio.Semaphore,
+        semaphore: asyncio.Semaphore,
     ) -> bool:
-        """Move one prefix; return whether it arrived."""
-        async with room:
-            target = self._target(service, name, chat)
+        """Transfer one prefix; return whether it was imported."""
+        async with semaphore:
+            target = self._find_target(service, name, chat)
             if not target:
                 return False
             address = self._state.bundle.backends[target].address
@@ -125,17 +130,19 @@
                 data = await source.export_prefix(chat)
                 if data is None:
                     return False
-                arrived = await client.import_prefix(chat, data)
+                is_imported = await client.import_prefix(chat, data)
             except errors.HoneyportError:
                 return False
             finally:
                 client.close()
             self._metrics.count('prefixes_moved')
-            return arrived
+            return is_imported
 
-    def _target(self, service: str, name: str, chat: str) -> str:
-        """Return the engine that the chat's next turn will go to."""
+    def _find_target(self, service: str, name: str, chat: str) -> str:
+        """Return the engine that will get the chat's next turn, or ``''``."""
         usable = self._state.usable(self._state.pool(service))
-        others = [other for other in usable if other != name]
-        ranked = hashing.rank(chat, others, 1)
+        targets = [
+            engine_name for engine_name in usable if engine_name != name
+        ]
+        ranked = hashing.rank(chat, targets, 1)
         return ranked[0] if ranked else ''
--- a/src/honeyport/router/redirector.py
+++ b/src/honeyport/router/redirector.py
@@ -1,4 +1,4 @@
-"""What a router answers to other processes that look for control."""
+"""Services by which other processes find control through this router."""
 
 import collections.abc
 
@@ -14,10 +14,10 @@
 
 
 class ContactServicer(rpc.ContactServicer):
-    """Lets a leader say where it is."""
+    """Receives introductions from leaders."""
 
-    def __init__(self, own: session.Session) -> None:
-        self._session = own
+    def __init__(self, router_session: session.Session) -> None:
+        self._session = router_session
 
     async def Introduce(
         self, request: pb.Redirect, context: grpc.aio.ServicerContext
@@ -27,10 +27,10 @@
 
 
 class Redirector(rpc.SessionServicer):
-    """Sends on whoever takes this process for a control replica."""
+    """Redirects routers that try to attach to this process as a leader."""
 
-    def __init__(self, own: session.Session) -> None:
-        self._session = own
+    def __init__(self, router_session: session.Session) -> None:
+        self._session = router_session
 
     async def Attach(
         self,
@@ -42,24 +42,27 @@
 
 
 def register(
-    server: grpc.aio.Server, own: session.Session, *, beside_replica: bool
+    server: grpc.aio.Server,
+    router_session: session.Session,
+    *,
+    beside_replica: bool,
 ) -> None:
-    """Add what every router answers to a server.
+    """Add the services to a gRPC server.
 
-    :param beside_replica: whether a control replica is served there, which
-        says by itself who leads
+    :param beside_replica: whether a control replica is served there, too,
+        which redirects by itself
     """
-    rpc.add_ContactServicer_to_server(ContactServicer(own), server)
+    rpc.add_ContactServicer_to_server(ContactServicer(router_session), server)
     if not beside_replica:
-        rpc.add_SessionServicer_to_server(Redirector(own), server)
+        rpc.add_SessionServicer_to_server(Redirector(router_session), server)
 
 
 async def serve(
-    address: str, own: session.Session, tree: supervisor.Supervisor
+    address: str, router_session: session.Session, tree: supervisor.Supervisor
 ) -> None:
-    """Listen at the address where other processes connect."""
+    """Serve the services at an address until the supervisor stops."""
     server = channels.server()
-    register(server, own, beside_replica=False)
+    register(server, router_session, beside_replica=False)
     server.add_insecure_port(address)
     await server.start()
     tree.on_stop('redirector', lambda: server.stop(_STOP_GRACE_S))
--- a/src/honeyport/router/resume.py
+++ b/src/honeyport/router/resume.py
@@ -1,52 +1,52 @@
-"""Where a stream of events was cut, and the bytes to leave out after it.
+"""Resumption of an interrupted stream of server-sent events.
 
-An engine numbers its events in ``id:`` lines, and sends the same bytes
-again when asked for what comes after a number. What the caller already
-has of the next event is left out.
+An engine numbers its events in ``id:`` lines. Asked for the events after a
+number, it sends the same bytes again. The part of the next event that the
+caller has already received is removed from them.
 """
 
 _BOUNDARY = b'\n\n'
-_FIELD = b'id: '
+_ID_FIELD = b'id: '
 
 
 class StreamOffset:
-    """How far a caller has got in a stream of events.
+    """The position of a caller in a stream of events.
 
-    :param last_event: number of the last whole event before the stream
+    :param last_event: the number of the last event before the stream starts
     """
 
     def __init__(self, last_event: int = 0) -> None:
         self._last_event = last_event
-        self._rest = b''
-        self._skip = 0
+        self._partial_event = b''
+        self._skip_bytes = 0
 
     @property
     def last_event(self) -> int:
-        """The number of the last whole event; 0 for none."""
+        """The number of the last complete event; 0 for none."""
         return self._last_event
 
     def begin_resume(self) -> None:
-        """Note that the stream goes on after the last whole event."""
-        self._skip = len(self._rest)
+        """Prepare for a stream that starts after the last complete event."""
+        self._skip_bytes = len(self._partial_event)
 
     def strip_received(self, payload: bytes) -> bytes:
-        """Count bytes in; return those that the caller lacks."""
-        if self._skip:
-            skipped = min(self._skip, len(payload))
-            self._skip -= skipped
-            payload = payload[skipped:]
-        data = self._rest + payload
+        """Advance by received bytes; return those that are new."""
+        if self._skip_bytes:
+            skipped_bytes = min(self._skip_bytes, len(payload))
+            self._skip_bytes -= skipped_bytes
+            payload = payload[skipped_bytes:]
+        data = self._partial_event + payload
         end = data.rfind(_BOUNDARY)
         if end >= 0:
-            self._note(data[: end + len(_BOUNDARY)])
+            self._record_last_event(data[: end + len(_BOUNDARY)])
             data = data[end + len(_BOUNDARY) :]
-        self._rest = data
+        self._partial_event = data
         return payload
 
-    def _note(self, events: bytes) -> None:
-        start = events.rfind(b'\n' + _FIELD) + 1
-        if not start and not events.startswith(_FIELD):
+    def _record_last_event(self, events: bytes) -> None:
+        start = events.rfind(b'\n' + _ID_FIELD) + 1
+        if not start and not events.startswith(_ID_FIELD):
             return
-        number = events[start + len(_FIELD) : events.index(b'\n', start)]
+        number = events[start + len(_ID_FIELD) : events.index(b'\n', start)]
         if number.isdigit():
             self._last_event = int(number)
