--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -46,7 +46,7 @@
 
     async def call():
         leader = await platform_steps.find_leader(platform)
-        return await platform.ask(leader, 2, path, body)
+        return await platform.request(leader, 2, path, body)
 
     context.status, _ = context.run(call())
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -39,7 +39,7 @@
 
 @behave.given('its instance list holds entries of another writer')
 def step_foreign(context):
-    listed = context.platform.listed
+    listed = context.platform.list_entries
     [good] = listed
     listed += [
         None,
@@ -210,7 +210,7 @@
 
     async def told():
         path = '/api/resolution?name=yard.example&region=hcm&zone=none'
-        status, body = await platform.ask(platform.nodes[0], 3, path)
+        status, body = await platform.request(platform.nodes[0], 3, path)
         return status == 200 and len(json.loads(body)['addresses']) == count
 
     context.run(until(told, _READ_S))
@@ -272,7 +272,7 @@
 
 async def _reads(platform, node, version):
     """Whether a node shows a version; what it shows must be that."""
-    status, body = await platform.ask(node, 2, '/api/configuration/read')
+    status, body = await platform.request(node, 2, '/api/configuration/read')
     if status != 200:
         return False
     assert json.loads(body) == platform.sent[version], body
@@ -280,7 +280,7 @@
 
 
 async def _is_ready(platform, node):
-    status, _ = await platform.ask(node, 1, '/api/readiness')
+    status, _ = await platform.request(node, 1, '/api/readiness')
     return status == 200
 
 
--- a/features/steps/seed_steps.py
+++ b/features/steps/seed_steps.py
@@ -84,7 +84,7 @@
 def _name_seeds(context, nodes):
     """Change the settings, and wait until all processes have read them."""
     platform = context.platform
-    platform.name_seeds(nodes)
+    platform.set_seeds(nodes)
     wanted = f'"{nodes[0].ip}:'
 
     async def read():
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -60,7 +60,7 @@
 
 @behave.when('a read of the configuration waits on its socket, and it wakes')
 def step_read_waits(context):
-    read = context.platform.ask(context.asleep, _CONTROL, _READ)
+    read = context.platform.request(context.asleep, _CONTROL, _READ)
     context.answer = context.run(_wake_under(context, read))
 
 
--- a/features/support/crashing.py
+++ b/features/support/crashing.py
@@ -79,7 +79,7 @@
 
     def tell(self) -> None:
         """Write the platform's list."""
-        self._platform.listed[:] = [one.to_entry() for one in self._all]
+        self._platform.list_entries[:] = [one.to_entry() for one in self._all]
 
 
 class _Instance:
--- a/features/support/platform.py
+++ b/features/support/platform.py
@@ -101,10 +101,10 @@
         self._platform = platform
 
     def get(self) -> None:
-        if not self._platform.list_answers:
+        if not self._platform.list_available:
             self.send_error(500)
             return
-        self.write({'instances': self._platform.listed, 'next': None})
+        self.write({'instances': self._platform.list_entries, 'next': None})
 
 
 class _Work(web.RequestHandler):
@@ -130,8 +130,8 @@
             force_instance=True
         )
         self.runs: list[str] = []
-        self.listed: list[dict[str, typing.Any]] = []
-        self.list_answers = True
+        self.list_entries: list[dict[str, typing.Any]] = []
+        self.list_available = True
         self.losses = 1
         self.suspendable = False
         self.sent: dict[int, typing.Any] = {}
@@ -153,7 +153,7 @@
         """Start everything."""
         self._cloud = local.free_address()
         work = local.free_address()
-        self.listed = [
+        self.list_entries = [
             {
                 'id': 'i-1',
                 'service': 'app',
@@ -182,7 +182,7 @@
         for server in self._servers:
             server.stop()
 
-    def name_seeds(self, nodes: list[Node]) -> None:
+    def set_seeds(self, nodes: list[Node]) -> None:
         """Write other seeds into the settings of all, and say so."""
         self.seeds = [node.ip for node in nodes]
         for node in self.nodes:
@@ -252,7 +252,7 @@
         while True:
             node = self.only or self.nodes[self._asked % len(self.nodes)]
             self._asked += 1
-            status, _ = await self.ask(
+            status, _ = await self.request(
                 node, 2, '/api/configuration/replace', tree
             )
             if status in (200, 400):
@@ -267,12 +267,12 @@
         while True:
             node = self.only or self.nodes[self._asked % len(self.nodes)]
             self._asked += 1
-            status, _ = await self.ask(node, 2, path, b'')
+            status, _ = await self.request(node, 2, path, b'')
             if 0 < status < 500:
                 return status
             await asyncio.sleep(0.05)
 
-    async def ask(
+    async def request(
         self,
         node: Node,
         port: int,
@@ -321,7 +321,7 @@
             'Attempt-Id': name,
             'Deadline-Ms': '2000',
         }
-        return await self.ask(
+        return await self.request(
             node, 0, path, text.encode() or None, headers=headers
         )
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -58,7 +58,7 @@
     async def _connect(self) -> bool:
         """Ask a node which address to use, and connect there."""
         node = self._site.chance.choice(self._site.nodes)
-        status, body = await self._site.ask(
+        status, body = await self._site.request(
             node, _DIRECTORY, '/api/resolution?name=x&region=r&zone=thu-duc'
         )
         if status != 200:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -205,7 +205,7 @@
     chance: random.Random,
 ) -> None:
     """The settings name any instances, also such as have no disk."""
-    site.name_seeds(chance.sample(site.nodes, _SEEDS))
+    site.set_seeds(chance.sample(site.nodes, _SEEDS))
 
 
 @fault
@@ -318,10 +318,10 @@
     chance: random.Random,
 ) -> None:
     """The platform's list answers with errors."""
-    site.list_answers = False
+    site.list_available = False
     with _disturbed(site, *(node.name for node in site.nodes)):
         await _pause(chance, 0.5, 4.0)
-    site.list_answers = True
+    site.list_available = True
 
 
 @fault
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -86,13 +86,15 @@
     async def _send(
         self, node: platform.Node, tree: dict[str, typing.Any]
     ) -> int:
-        status, _ = await self._site.ask(
+        status, _ = await self._site.request(
             node, _CONTROL, '/api/configuration/replace', tree
         )
         return status
 
     async def _read(self, node: platform.Node) -> tuple[int, bytes]:
-        return await self._site.ask(node, _CONTROL, '/api/configuration/read')
+        return await self._site.request(
+            node, _CONTROL, '/api/configuration/read'
+        )
 
     def _accept(self, version: int) -> None:
         self._site.found.accepted.append(
--- a/soak/site.py
+++ b/soak/site.py
@@ -106,11 +106,11 @@
             'Attempt-Id': request_id,
             'Deadline-Ms': '1500',
         }
-        await self.ask(node, 0, '/app/ending', backend.ENDING, headers)
+        await self.request(node, 0, '/app/ending', backend.ENDING, headers)
 
     def tell(self) -> None:
         """Bring the platform's list up to date."""
-        self.listed = [one.to_entry() for one in self.instances]
+        self.list_entries = [one.to_entry() for one in self.instances]
 
     # -- nodes -----------------------------------------------------------
 
