--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -51,7 +51,9 @@
 def step_cut(context, count):
     context.run(failure_steps.start_long(context, count, 'router-1'))
     context.run(asyncio.sleep(0.2))
-    dropped = [one.drop() for one in context.world.relays.values()]
+    dropped = [
+        one.close_connections() for one in context.world.relays.values()
+    ]
     assert sum(dropped) >= count, dropped
 
 
--- a/features/steps/control_failure_steps.py
+++ b/features/steps/control_failure_steps.py
@@ -86,7 +86,7 @@
 @behave.when('the leader is no longer cut off')
 def step_mend(context):
     for way in context.world.relays.values():
-        way.mend()
+        way.heal()
 
 
 @behave.then('all replicas hold the same version {version:d}')
--- a/features/steps/history_steps.py
+++ b/features/steps/history_steps.py
@@ -162,7 +162,7 @@
     """Cut the power of all replicas when a change is acknowledged."""
     group = simulation.Group(3, seed)
     for name in group.names:
-        group.disks[name].forgets_syncs = context.forgets
+        group.disks[name].ignores_syncs = context.forgets
         group.start(name)
     await group.converge()
     acknowledged = await group.propose('change')
--- a/features/support/power.py
+++ b/features/support/power.py
@@ -59,7 +59,7 @@
         self._file.current += data
 
     def sync(self) -> None:
-        if not self._disk.forgets_syncs:
+        if not self._disk.ignores_syncs:
             self._file.sync()
 
     def close(self) -> None:
@@ -71,7 +71,7 @@
 
     :param chance: decides what a loss of power leaves
     :ivar full: whether it takes no more bytes
-    :ivar forgets_syncs: whether a sync does nothing, as a proof that the
+    :ivar ignores_syncs: whether a sync does nothing, as a proof that the
         tests would notice
     """
 
@@ -80,7 +80,7 @@
         self._names: dict[pathlib.Path, _File] = {}
         self._lasting_names: dict[pathlib.Path, _File] = {}
         self.full = False
-        self.forgets_syncs = False
+        self.ignores_syncs = False
 
     # -- what the storage calls ------------------------------------------
 
@@ -112,7 +112,7 @@
         self._names[new] = self._names.pop(old)
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        if not self.forgets_syncs:
+        if not self.ignores_syncs:
             self._lasting_names = dict(self._names)
 
     # -- what happens to it ----------------------------------------------
--- a/features/support/relay.py
+++ b/features/support/relay.py
@@ -22,7 +22,7 @@
         self._target = target
         self._there = asyncio.Event()
         self._back = asyncio.Event()
-        self.mend()
+        self.heal()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -31,19 +31,19 @@
         host, port = roles.split(self.address)
         self._server = await asyncio.start_server(self._accept, host, port)
 
-    def cut(self, *, there: bool = True, back: bool = True) -> None:
+    def cut(self, *, to_target: bool = True, from_target: bool = True) -> None:
         """Pass nothing on from now on, in one direction or both."""
-        if there:
+        if to_target:
             self._there.clear()
-        if back:
+        if from_target:
             self._back.clear()
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """Pass on again what comes, and what had come."""
         self._there.set()
         self._back.set()
 
-    def drop(self) -> int:
+    def close_connections(self) -> int:
         """Close all connections; return how many there were."""
         count = len(self._tasks)
         for task in list(self._tasks):
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -234,9 +234,9 @@
     """Nothing passes to, from, or to and from one instance."""
     relay = chance.choice(site.instances).relay
     there, back = chance.choice([(True, True), (True, False), (False, True)])
-    relay.cut(there=there, back=back)
+    relay.cut(to_target=there, from_target=back)
     await _pause(chance, 0.5, 4.0)
-    relay.mend()
+    relay.heal()
 
 
 @fault
@@ -261,7 +261,7 @@
     """The connections to one instance are closed, several times."""
     relay = chance.choice(site.instances).relay
     for _ in range(chance.randint(1, 5)):
-        relay.drop()
+        relay.close_connections()
         await _pause(chance, 0.05, 0.5)
 
 
