--- a/src/honeyport/errors.py
+++ b/src/honeyport/errors.py
@@ -1,9 +1,8 @@
-"""Every failure honeyport reports, each with a stable code.
+"""The errors that honeyport reports, each with a stable code.
 
-A failure that reaches a caller says three things: its code, whether the
-request ran, and when to come back. ``ran`` is ``False`` only where it is
-known that no backend server got the request, ``True`` where the backend
-server's answer says so, and ``None`` where nobody can know.
+``ran`` tells a caller whether its request ran: ``False`` only if it is
+certain that it did not, ``True`` if the backend server's answer shows that
+it did, ``None`` if it is unknown.
 """
 
 import typing
@@ -14,13 +13,16 @@
 
 
 class HoneyportError(Exception):
-    """Base of all failures.
-
-    ``settled`` is set where "not run" holds for all requests with the same
-    idempotency key: the claim was given back.
-
-    :param detail: what happened, for the person who reads the answer
-    :param retry_after: seconds until a repetition makes sense, or ``None``
+    """Base class of all errors.
+
+    :param detail: what happened, as text; the hint if it is empty
+    :param retry_after: seconds to wait before a retry, or ``None``
+    :ivar code: stable identifier of the class
+    :ivar status: the HTTP status of the answer
+    :ivar ran: whether the request ran; ``None`` if it is unknown
+    :ivar hint: what the caller or operator should do
+    :ivar settled: whether the claim on the idempotency key was released, so
+        that ``ran`` holds for all requests with this key
     """
 
     code = 'HP-0000'
@@ -37,7 +39,7 @@
         self.settled = False
 
     def to_dict(self) -> dict[str, typing.Any]:
-        """Return the body that callers get, ready for JSON."""
+        """Return the error as a JSON object, as callers get it."""
         body: dict[str, typing.Any] = {
             'code': self.code,
             'type': type(self).__name__,
@@ -51,7 +53,10 @@
 
 
 def register(code: str) -> typing.Callable[[E], E]:
-    """Give an error class its code and enter it in the registry."""
+    """Return a class decorator that sets the code and registers the class.
+
+    :raises ValueError: from the decorator, if the code is taken
+    """
 
     def decorate(cls: E) -> E:
         if code in _REGISTRY:
@@ -64,12 +69,12 @@
 
 
 def registry() -> dict[str, type[HoneyportError]]:
-    """Return every error class by its code."""
+    """Return a copy of the registry: code to error class."""
     return dict(_REGISTRY)
 
 
 def by_code(code: str) -> type[HoneyportError]:
-    """Return the class of a code, or the base class for an unknown one."""
+    """Return the error class of a code, or the base class if unknown."""
     return _REGISTRY.get(code, HoneyportError)
 
 
@@ -94,24 +99,24 @@
 @register('HP-2001')
 class SignatureInvalid(HoneyportError):
     status = 403
-    hint = 'Sign with enough keys from the accepted bundle.'
+    hint = 'Sign with enough keys that the accepted bundle lists.'
 
 
 @register('HP-2002')
 class VersionConflict(HoneyportError):
     status = 409
-    hint = 'Read the accepted bundle, put your change on it, submit again.'
+    hint = 'Rebase your change on the accepted bundle and submit it again.'
 
 
 @register('HP-2003')
 class NotLeader(HoneyportError):
-    """Another replica leads.
+    """The replica that was asked is not the leader.
 
-    :ivar leader: the address where it is asked, or ``''`` if none is known
+    :ivar leader: the address of the leader, or ``''`` if unknown
     """
 
     status = 503
-    hint = 'Ask the replica named as leader.'
+    hint = 'Send the request to the replica that is named as leader.'
 
     def __init__(
         self,
@@ -127,18 +132,23 @@
 @register('HP-2004')
 class ControlUnavailable(HoneyportError):
     status = 503
-    hint = 'Fewer than a quorum of control replicas answer.'
+    hint = 'No leader with a quorum of control replicas answers; retry later.'
 
 
 @register('HP-2005')
 class StorageDamaged(HoneyportError):
-    hint = 'Replace the replica: move the data folder away, start it empty.'
+    hint = (
+        "The replica's data is corrupt: move its data folder away "
+        'and start it with an empty one.'
+    )
 
 
 @register('HP-2006')
 class CommitUnknown(HoneyportError):
     status = 503
-    hint = 'Send the same again: a repetition gets the same receipt.'
+    hint = (
+        'It may have been committed. Send it again: the receipt is the same.'
+    )
 
 
 @register('HP-2007')
@@ -150,13 +160,13 @@
 @register('HP-2008')
 class StorageFailed(HoneyportError):
     status = 503
-    hint = 'The disk of a control replica takes no writes; see the reason.'
+    hint = 'A write to the disk of a control replica failed; see the reason.'
 
 
 @register('HP-2009')
 class ConfigUnusable(HoneyportError):
     status = 503
-    hint = 'The router attaches again and takes the whole configuration.'
+    hint = 'The router reconnects and requests the full configuration.'
 
 
 @register('HP-3001')
@@ -170,35 +180,35 @@
 class UnknownService(HoneyportError):
     status = 404
     ran = False
-    hint = 'Use a service or model that the bundle names; it was not run.'
+    hint = 'Use a service or model that the bundle defines; it was not run.'
 
 
 @register('HP-3003')
 class UnknownAccount(HoneyportError):
     status = 403
     ran = False
-    hint = 'Use a client account that the bundle names; it was not run.'
+    hint = 'Use a client account that the bundle defines; it was not run.'
 
 
 @register('HP-3004')
 class Overloaded(HoneyportError):
     status = 429
     ran = False
-    hint = 'No room before the deadline; it was not run. Come back later.'
+    hint = 'No capacity before the deadline; it was not run. Retry later.'
 
 
 @register('HP-3005')
 class NotReady(HoneyportError):
     status = 503
     ran = False
-    hint = 'This instance may not serve now; it was not run. Ask another.'
+    hint = 'This instance is not ready to serve; it was not run. Try another.'
 
 
 @register('HP-3006')
 class Draining(HoneyportError):
     status = 503
     ran = False
-    hint = 'This instance is leaving; it was not run. Ask another.'
+    hint = 'This instance is shutting down; it was not run. Try another.'
 
 
 @register('HP-3007')
@@ -210,169 +220,179 @@
 
 @register('HP-3015')
 class ConnectionRefused(NotSent):
-    hint = 'Nothing listens at the address of the backend server; not run.'
+    hint = 'The backend server refused the connection; it was not run.'
 
 
 @register('HP-3018')
 class InstanceRests(HoneyportError):
     status = 503
     ran = False
-    hint = 'The backend server asked for rest; nothing was sent there.'
+    hint = 'The backend server asked for a pause; the request was not sent.'
 
 
 @register('HP-3008')
 class BackendLost(HoneyportError):
     status = 502
-    hint = 'The backend server went away; the request may have run.'
+    hint = 'The connection to the backend server broke; it may have run.'
 
 
 @register('HP-3014')
 class BackendSilent(BackendLost):
     status = 504
-    hint = 'The backend server said nothing for too long; it may have run.'
+    hint = (
+        'The backend server sent nothing before the timeout; it may have run.'
+    )
 
 
 @register('HP-3009')
 class AnswerCut(HoneyportError):
     status = 502
     ran = True
-    hint = 'The answer is not whole. Resume with Last-Event-ID.'
+    hint = 'The answer is incomplete. Resume with Last-Event-ID.'
 
 
 @register('HP-3010')
 class PeerLost(HoneyportError):
     status = 502
-    hint = 'The instance in charge went away; the request may have run.'
+    hint = 'The connection to another instance broke; it may have run.'
 
 
 @register('HP-3011')
 class DeadlinePassed(HoneyportError):
     status = 504
-    hint = 'The deadline passed while the request was running.'
+    hint = 'The deadline expired while the request was running.'
 
 
 @register('HP-3012')
 class BackendFull(HoneyportError):
     status = 429
     ran = False
-    hint = 'This backend server is at its bound; another one is tried.'
+    hint = 'This backend server is at its load limit; another one is tried.'
 
 
 @register('HP-3013')
 class AnswerTooLarge(HoneyportError):
     status = 502
     ran = True
-    hint = 'It ran, but its answer is over limits.answer_bytes.'
+    hint = 'It ran, but its answer exceeds limits.answer_bytes.'
 
 
 @register('HP-3016')
 class RequestBarred(HoneyportError):
     status = 503
     ran = False
-    hint = 'Instances ended each time this ran; it is refused, and not run.'
+    hint = 'Instances crashed each time this ran; it was refused and not run.'
 
 
 @register('HP-3017')
 class RequestHeld(HoneyportError):
     status = 503
     ran = False
-    hint = 'Instances ended when this ran; one at a time runs. Come back.'
+    hint = (
+        'Instances crashed when this ran; only one runs at a time. '
+        'Retry later.'
+    )
 
 
 @register('HP-3101')
 class KeyInvalid(HoneyportError):
     status = 400
     ran = False
-    hint = 'Use a UUIDv7 made for this request as Idempotency-Key.'
+    hint = 'Send a new UUIDv7 as the Idempotency-Key of this request.'
 
 
 @register('HP-3102')
 class KeyExpired(HoneyportError):
     status = 409
-    hint = 'The key is older than the retention. Look the outcome up.'
+    hint = 'The key is older than the retention time. Look the outcome up.'
 
 
 @register('HP-3103')
 class KeyReused(HoneyportError):
     status = 422
     ran = False
-    hint = 'This key belongs to another request; this one was not run.'
+    hint = 'This key was used for a different request; this one was not run.'
 
 
 @register('HP-3104')
 class StillRunning(HoneyportError):
     status = 409
     ran = True
-    hint = 'The request with this key is running. Ask for it again.'
+    hint = 'The request with this key is still running. Retry later.'
 
 
 @register('HP-3105')
 class MayHaveRun(HoneyportError):
     status = 409
-    hint = 'Nobody can know if this ran; it is never run again.'
+    hint = 'The outcome is unknown; the request is never run again.'
 
 
 @register('HP-3201')
 class UnknownRoute(HoneyportError):
     status = 404
     ran = False
-    hint = 'Use a host and a path that a route names; it was not run.'
+    hint = 'Use a host and a path that a route matches; it was not run.'
 
 
 @register('HP-3202')
 class UnknownKey(HoneyportError):
     status = 401
     ran = False
-    hint = 'Send an API key that a client account holds; it was not run.'
+    hint = 'Send an API key of a client account; it was not run.'
 
 
 @register('HP-3203')
 class NoInstance(HoneyportError):
     status = 503
     ran = False
-    hint = 'No instance of the service is known; it was not run.'
+    hint = 'The service has no known instance; it was not run.'
 
 
 @register('HP-3210')
 class ListUnusable(HoneyportError):
     status = 503
-    hint = 'A list does not follow the one held here; it is asked for anew.'
+    hint = (
+        'An update does not match the stored list; the full list is requested.'
+    )
 
 
 @register('HP-3208')
 class WrongMethod(HoneyportError):
     status = 405
     ran = False
-    hint = 'Use a method that this call takes; nothing was changed.'
+    hint = 'Use a method that this path supports; nothing was changed.'
 
 
 @register('HP-3209')
 class UnknownDomain(HoneyportError):
     status = 404
     ran = False
-    hint = 'Name a failure domain that exists; nothing was changed.'
+    hint = 'Use an existing failure domain; nothing was changed.'
 
 
 @register('HP-3204')
 class ForeignAnswer(HoneyportError):
     status = 502
-    hint = 'The instance sent what is no answer to this request.'
+    hint = 'The instance sent an answer that does not belong to this request.'
 
 
 @register('HP-3205')
 class NotExecuted(HoneyportError):
     status = 503
     ran = False
-    hint = 'The instance refused the request; it was not run. Come back.'
+    hint = 'The instance refused the request; it was not run. Retry later.'
 
 
 @register('HP-3207')
 class Misdirected(NotExecuted):
-    hint = 'Another instance has the address; it was not run. Come back.'
+    hint = (
+        'The address now belongs to another instance; it was not '
+        'run. Retry later.'
+    )
 
 
 @register('HP-3206')
 class AttemptFailed(HoneyportError):
     status = 502
     ran = True
-    hint = 'The instance ran the request and answered with a failure.'
+    hint = 'The instance ran the request and answered with an error.'
--- a/src/honeyport/telemetry/events.py
+++ b/src/honeyport/telemetry/events.py
@@ -1,7 +1,7 @@
 """The catalogue of log events.
 
-Each event has a number that never changes its meaning. ``docs/events.md``
-lists the same catalogue; a test keeps the two alike.
+Each event has a number that is never reused. The reference page
+``events.md`` is generated from this catalogue.
 """
 
 import attrs
@@ -11,7 +11,12 @@
 
 @attrs.frozen
 class Event:
-    """One kind of log line."""
+    """A kind of log line.
+
+    :ivar number: its number in the catalogue
+    :ivar level: a key of ``log.LEVELS``
+    :ivar meaning: what happened, for the reference page
+    """
 
     number: int
     name: str
@@ -20,7 +25,10 @@
 
 
 def define(number: int, name: str, level: str, meaning: str) -> Event:
-    """Enter an event in the catalogue and return it."""
+    """Add an event to the catalogue and return it.
+
+    :raises ValueError: if the number is taken
+    """
     if number in _CATALOGUE:
         raise ValueError(f'event number {number} is taken')
     event = Event(number, name, level, meaning)
@@ -29,77 +37,161 @@
 
 
 def catalogue() -> list[Event]:
-    """Return all events in the order of their numbers."""
+    """Return all events, sorted by number."""
     return [_CATALOGUE[number] for number in sorted(_CATALOGUE)]
 
 
-STARTED = define(1001, 'started', 'info', 'The process serves.')
-STOPPING = define(1002, 'stopping', 'info', 'SIGTERM or SIGINT came.')
-STOPPED = define(1003, 'stopped', 'info', 'All children have ended.')
+STARTED = define(
+    1001,
+    'started',
+    'info',
+    'All components of the process have started; it is serving.',
+)
+STOPPING = define(
+    1002,
+    'stopping',
+    'info',
+    'The process received SIGTERM or SIGINT and begins to shut down.',
+)
+STOPPED = define(
+    1003,
+    'stopped',
+    'info',
+    'All tasks and servers of the process have been stopped.',
+)
 CHILD_FAILED = define(
-    1004, 'child_failed', 'error', 'A child ended with an error; restarted.'
+    1004,
+    'child_failed',
+    'error',
+    'A supervised task raised an exception; it is restarted after a pause.',
 )
 
-RELOADED = define(1005, 'reloaded', 'info', 'The settings were read again.')
+RELOADED = define(
+    1005,
+    'reloaded',
+    'info',
+    'The settings were reloaded; the line has the fields that changed.',
+)
 RELOAD_FAILED = define(
-    1006, 'reload_failed', 'error', 'The new settings are invalid; ignored.'
+    1006,
+    'reload_failed',
+    'error',
+    'The reloaded settings are invalid; the previous ones stay in effect.',
 )
 SETTINGS_READ = define(
-    1007, 'settings_read', 'info', 'What the settings named at the start.'
+    1007,
+    'settings_read',
+    'info',
+    'The settings were read at startup; the line has the addresses of '
+    'control.',
 )
 
-ELECTED = define(2001, 'elected', 'info', 'This replica leads the term.')
-STEPPED_DOWN = define(2002, 'stepped_down', 'info', 'It leads no longer.')
+ELECTED = define(
+    2001,
+    'elected',
+    'info',
+    'This control replica was elected leader of the term.',
+)
+STEPPED_DOWN = define(
+    2002,
+    'stepped_down',
+    'info',
+    'This control replica stopped being the leader.',
+)
 TAIL_CUT = define(
-    2003, 'tail_cut', 'warning', 'A torn record at the end of the log is cut.'
+    2003,
+    'tail_cut',
+    'warning',
+    'An incomplete record at the end of a file of the Raft log was truncated.',
+)
+FOUNDED = define(
+    2004,
+    'founded',
+    'info',
+    'The group of control replicas was bootstrapped: all initial '
+    'replicas had an empty log.',
 )
-FOUNDED = define(2004, 'founded', 'info', 'All replicas were empty; founded.')
 UNADMITTED = define(
-    2005, 'unadmitted', 'warning', 'An empty disk: no vote until readmitted.'
+    2005,
+    'unadmitted',
+    'warning',
+    'This control replica has an empty log and may not bootstrap a '
+    'group; it does not vote until it is admitted.',
 )
 MEMBERS_CHANGED = define(
     2006, 'members_changed', 'info', 'The set of control replicas changed.'
 )
-SNAPSHOT_TAKEN = define(2007, 'snapshot_taken', 'info', 'The log is cut.')
+SNAPSHOT_TAKEN = define(
+    2007,
+    'snapshot_taken',
+    'info',
+    'A snapshot of the state was stored and the Raft log before it truncated.',
+)
 SNAPSHOT_RECEIVED = define(
-    2008, 'snapshot_received', 'info', 'State was taken from the leader.'
+    2008,
+    'snapshot_received',
+    'info',
+    'This control replica installed a snapshot from the leader.',
 )
 MEMBER_ADDED = define(
     2009,
     'member_added',
     'warning',
-    'A new replica learns: votes are missing, or a member is silent.',
+    'The leader adds a control replica as a learner: there are too few '
+    'voters, or a member is unreachable.',
 )
 MEMBER_REMOVED = define(
     2010,
     'member_removed',
     'warning',
-    'A silent replica is no member any more; its successor votes.',
+    'The leader removes a control replica that has been unreachable; '
+    'its replacement votes.',
 )
 SUCCESSION_FAILED = define(
-    2011, 'succession_failed', 'warning', 'A change of members failed.'
+    2011,
+    'succession_failed',
+    'warning',
+    'The leader could not add or remove a control replica.',
 )
 STORAGE_FAILED = define(
-    2012, 'storage_failed', 'error', 'The disk of this replica failed a write.'
+    2012,
+    'storage_failed',
+    'error',
+    'A write to the disk of this control replica failed.',
 )
 STORAGE_REGAINED = define(
-    2013, 'storage_regained', 'info', 'The disk takes writes again.'
+    2013,
+    'storage_regained',
+    'info',
+    'Writes to the disk of this control replica succeed again.',
+)
+BUNDLE_ACCEPTED = define(
+    2101, 'bundle_accepted', 'info', 'A version of the bundle was committed.'
 )
-BUNDLE_ACCEPTED = define(2101, 'bundle_accepted', 'info', 'It is committed.')
 BUNDLE_IN_FORCE = define(
-    2102, 'bundle_in_force', 'info', 'Every router with a lease applies it.'
+    2102,
+    'bundle_in_force',
+    'info',
+    'Every router that has a lease applies the committed bundle.',
 )
 REPLACEMENT_OVERTAKEN = define(
     2103,
     'replacement_overtaken',
     'info',
-    'A configuration that is in force or overtaken is acknowledged again.',
+    'A submitted configuration is no newer than the accepted one; it '
+    'was acknowledged without a change.',
 )
 REPLACEMENT_REFUSED = define(
-    2104, 'replacement_refused', 'warning', 'A configuration is invalid.'
+    2104,
+    'replacement_refused',
+    'warning',
+    'A submitted configuration is invalid and was rejected.',
 )
 OPERATOR_REDIRECTED = define(
-    2105, 'operator_redirected', 'info', 'Another replica leads.'
+    2105,
+    'operator_redirected',
+    'info',
+    "An operator's request was redirected to the leader.",
 )
 LIST_CHANGED = define(
     2401, 'list_changed', 'info', "The platform's list of instances changed."
@@ -108,214 +200,317 @@
     2402,
     'list_lost',
     'warning',
-    "The platform's list, or a part, cannot be read.",
+    "The platform's list of instances, or a part of it, cannot be read.",
 )
 LIST_REGAINED = define(
-    2403, 'list_regained', 'info', "The platform's list is read again."
+    2403,
+    'list_regained',
+    'info',
+    "The platform's list of instances can be read again.",
 )
 PLACES_CHANGED = define(
-    2404, 'places_changed', 'info', 'The log has which instance keeps what.'
+    2404,
+    'places_changed',
+    'info',
+    'A change of which instance holds which place was committed.',
 )
 PLACES_UNSAVED = define(
     2405,
     'places_unsaved',
     'warning',
-    'A change of places was not committed; it is tried again.',
+    'A change of which instance holds which place was not committed; it '
+    'is retried.',
 )
 LIST_ENTRIES_REFUSED = define(
     2406,
     'list_entries_refused',
     'warning',
-    "Entries of the platform's list name no instance to use.",
+    "Entries of the platform's list of instances are invalid and "
+    'ignored; the line has the reasons.',
+)
+VIEW_CHANGED = define(
+    2201,
+    'view_changed',
+    'info',
+    'Routers joined or left the view of the fleet.',
 )
-VIEW_CHANGED = define(2201, 'view_changed', 'info', 'Routers came or went.')
 ROUTER_EXPIRED = define(
-    2202, 'router_expired', 'warning', 'A router let its lease lapse.'
+    2202, 'router_expired', 'warning', 'The lease of a router expired.'
 )
 ROUTER_SILENT = define(
     2203,
     'router_silent',
     'warning',
-    "A router's stream ended or its reports are missing.",
+    "A router's stream to control ended, or its reports are overdue.",
 )
 ROUTER_CALLED = define(
     2204,
     'router_called',
     'info',
-    'A router without a stream was told where the leader is.',
+    'The leader called a router that has no stream and sent its own address.',
 )
 ROUTERS_CHANGED = define(
-    2205, 'routers_changed', 'info', 'Where routers listen is remembered.'
+    2205,
+    'routers_changed',
+    'info',
+    'A change of the stored router addresses was committed.',
 )
 ROUTERS_UNSAVED = define(
     2206,
     'routers_unsaved',
     'warning',
-    'Where routers listen was not committed; it is tried again.',
+    'A change of the stored router addresses was not committed; it is '
+    'retried.',
 )
 EVACUATION_BEGUN = define(
     2207,
     'evacuation_begun',
     'info',
-    'A failure domain gets nothing new; the order is committed.',
+    'The evacuation of a failure domain was committed: it gets no new '
+    'requests.',
 )
 EVACUATION_ENDED = define(
     2208,
     'evacuation_ended',
     'info',
-    'An evacuated failure domain is taken back; the order is committed.',
+    'The end of the evacuation of a failure domain was committed.',
 )
 REQUEST_SUSPECTED = define(
     2501,
     'request_suspected',
     'warning',
-    'Several instances ended under a request; it is watched, or barred.',
+    'Several instances crashed while they ran a request; it needs a '
+    'permit to run, or is refused.',
 )
 SUSPECTS_CLEARED = define(
     2502,
     'suspects_cleared',
     'info',
-    'Requests under suspicion ran to their end, or an operator cleared them.',
+    'Suspected requests completed or were cleared by an operator; they '
+    'need no permit any more.',
 )
 SUSPECTS_UNSAVED = define(
     2503,
     'suspects_unsaved',
     'warning',
-    'Requests under suspicion were not committed; it is tried again.',
+    'A change of the suspected requests was not committed; it is retried.',
 )
 PERMIT_GIVEN = define(
     2504,
     'permit_given',
     'info',
-    'A gateway may run a request under suspicion, alone in the fleet.',
+    'A gateway got the permit to run a suspected request; the fleet has '
+    'one permit for it.',
 )
 PERMIT_REFUSED = define(
     2505,
     'permit_refused',
     'info',
-    'A request under suspicion runs elsewhere, or is barred.',
+    'A gateway got no permit to run a suspected request: another one '
+    'holds it, or the request is refused.',
+)
+ORDER_SENT = define(
+    2301, 'order_sent', 'info', 'An engine accepted an order from control.'
 )
-ORDER_SENT = define(2301, 'order_sent', 'info', 'An engine got an order.')
 ORDER_REFUSED = define(
-    2302, 'order_refused', 'warning', 'An engine refused an order.'
+    2302,
+    'order_refused',
+    'warning',
+    'An engine refused an order from control.',
 )
 
-CONFIG_APPLIED = define(3001, 'config_applied', 'info', 'Now in force here.')
+CONFIG_APPLIED = define(
+    3001,
+    'config_applied',
+    'info',
+    'This router applied a version of the configuration.',
+)
 CONFIG_STALE = define(
-    3002, 'config_stale', 'warning', 'A lower version came; it is ignored.'
+    3002,
+    'config_stale',
+    'warning',
+    'This router ignored a configuration that is no newer than the '
+    'applied one.',
 )
 SESSION_LOST = define(
-    3003, 'session_lost', 'warning', 'The stream to control ended.'
+    3003, 'session_lost', 'warning', "This router's stream to control ended."
 )
 LEASE_LAPSED = define(
-    3004, 'lease_lapsed', 'warning', 'No lease: new work is refused.'
+    3004,
+    'lease_lapsed',
+    'warning',
+    "This router's lease expired; queued requests are refused, and new "
+    'ones until it is renewed.',
 )
 SESSION_OPENED = define(
-    3005, 'session_opened', 'info', 'The stream to control stands.'
+    3005,
+    'session_opened',
+    'info',
+    "This router's stream to control was opened.",
 )
 CONFIG_UNUSABLE = define(
     3006,
     'config_unusable',
     'error',
-    'A version does not fit the one held here; the stream starts over.',
+    'An update from control does not match the state of this router; '
+    'the stream is reopened and the full state requested.',
 )
 SESSION_FAILED = define(
     3007,
     'session_failed',
     'warning',
-    'An address that was asked for the leader led to no stream.',
+    'No stream to control could be opened at an address.',
 )
 INTRODUCED = define(
-    3008, 'introduced', 'info', 'A leader called and said where it is.'
+    3008,
+    'introduced',
+    'info',
+    'The leader called this router and sent its address.',
+)
+ENGINE_TAKEN = define(
+    3101,
+    'engine_taken',
+    'info',
+    'This router became the steward of a backend server.',
+)
+ENGINE_LEFT = define(
+    3102,
+    'engine_left',
+    'info',
+    'This router is no longer the steward of a backend server.',
 )
-ENGINE_TAKEN = define(3101, 'engine_taken', 'info', 'Steward of an engine.')
-ENGINE_LEFT = define(3102, 'engine_left', 'info', 'No longer its steward.')
 BACKEND_DOWN = define(
-    3103, 'backend_down', 'warning', 'A backend server does not answer.'
+    3103,
+    'backend_down',
+    'warning',
+    'A backend server failed several probes in a row and counts as down.',
+)
+BACKEND_UP = define(
+    3104,
+    'backend_up',
+    'info',
+    'A backend server that was down answers probes again.',
 )
-BACKEND_UP = define(3104, 'backend_up', 'info', 'It answers again.')
 PREFIXES_MOVED = define(
-    3105, 'prefixes_moved', 'info', 'Warm prefixes left a leaving engine.'
+    3105,
+    'prefixes_moved',
+    'info',
+    'Cached prefixes of chats were copied from an engine that is leaving.',
 )
 REQUEST_FAILED = define(
-    3201, 'request_failed', 'warning', 'A request ended with an error.'
+    3201,
+    'request_failed',
+    'warning',
+    'The handling of a request failed; the line has the error.',
 )
 ANSWER_RESUMED = define(
-    3202, 'answer_resumed', 'info', 'A cut stream goes on from its offset.'
+    3202,
+    'answer_resumed',
+    'info',
+    'An interrupted answer stream is resumed from its offset.',
 )
 CLAIM_UNRESOLVED = define(
-    3203, 'claim_unresolved', 'error', 'A claim has no recorded outcome.'
+    3203,
+    'claim_unresolved',
+    'error',
+    'A request with an idempotency key failed with an unknown outcome; '
+    'the key stays claimed.',
 )
 REQUEST_SERVED = define(
-    3204, 'request_served', 'info', 'A request got the whole answer.'
+    3204, 'request_served', 'info', 'A request was answered completely.'
 )
 REQUEST_REFUSED = define(
-    3205, 'request_refused', 'info', 'A request was not run, and it said so.'
+    3205,
+    'request_refused',
+    'info',
+    'A request was refused, and its caller told that it did not run.',
 )
 REQUEST_BROKEN = define(
-    3206, 'request_broken', 'warning', 'A request ended without its answer.'
+    3206,
+    'request_broken',
+    'warning',
+    'A request ended without a complete answer; it may have run.',
 )
 REQUEST_ABANDONED = define(
-    3207, 'request_abandoned', 'info', 'The caller left before the answer.'
+    3207,
+    'request_abandoned',
+    'info',
+    'The caller disconnected before its request was answered.',
 )
 ATTEMPT_FAILED = define(
     3208,
     'attempt_failed',
     'warning',
-    'An instance did not give a whole answer to an attempt.',
+    'An instance gave no complete answer to an attempt of a request.',
 )
 INSTANCE_AVOIDED = define(
-    3209, 'instance_avoided', 'warning', 'An instance gets no work for now.'
+    3209,
+    'instance_avoided',
+    'warning',
+    'An instance failed; this gateway sends it no requests for the '
+    'given pause.',
 )
 INSTANCES_APPLIED = define(
-    3210, 'instances_applied', 'info', 'A new list of instances is used here.'
+    3210,
+    'instances_applied',
+    'info',
+    'This gateway applied a new list of instances.',
 )
 ALLOWANCE_SPENT = define(
     3211,
     'allowance_spent',
     'warning',
-    'A request is not offered again: the allowance for that is spent.',
+    'A request is not retried: the retry budget of its service is exhausted.',
 )
 EVACUATIONS_APPLIED = define(
     3214,
     'evacuations_applied',
     'info',
-    'Which failure domains are evacuated, as it is in force here now.',
+    'This gateway applied a new set of evacuated failure domains.',
 )
 INSTANCE_ENDED = define(
     3212,
     'instance_ended',
     'warning',
-    'An instance ended while requests ran there; they are named.',
+    'An instance crashed or stopped while requests ran on it; the line '
+    'has the requests.',
 )
 INSTANCE_LIVES = define(
     3213,
     'instance_lives',
     'info',
-    'Requests broke on an instance that takes connections.',
+    'Requests on an instance were interrupted, but the instance still '
+    'accepts connections.',
 )
 REST_ASKED = define(
     3215,
     'rest_asked',
     'warning',
-    'An instance asked this gateway to send it nothing for a time.',
+    'An instance asked this gateway for a pause in requests (Retry- After).',
 )
 RESTING_USED = define(
     3216,
     'resting_used',
     'warning',
-    'A request was sent to an instance that had asked for rest.',
+    'A request was sent to an instance that had asked for a pause in '
+    'requests.',
 )
 INSTANCE_LEAVES = define(
     3217,
     'instance_leaves',
     'info',
-    'An instance says in its answers that it leaves.',
+    'An instance announced in its answers that it is leaving.',
 )
 LINES_DROPPED = define(
     3901,
     'lines_dropped',
     'warning',
-    'Log lines were dropped: standard output took them too slowly.',
+    'Log lines were dropped: standard output was too slow, or there '
+    'were more than the rate allows.',
+)
+PEER_LOST = define(
+    3301,
+    'peer_lost',
+    'warning',
+    'The stream to another router ended with an error.',
 )
-PEER_LOST = define(3301, 'peer_lost', 'warning', 'The stream to a peer ended.')
