--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -146,7 +146,7 @@
         method='POST',
         path='/',
         deadline=loop.time() + 60,
-        patience_s=60,
+        queue_timeout_s=60,
     )
     return await anext(controller.answer(call, name))
 
--- a/src/honeyport/backend/engine.py
+++ b/src/honeyport/backend/engine.py
@@ -121,7 +121,7 @@
     headers = [*call.headers, *plain.identify(call)]
     headers.append(('Honeyport-Chat', call.chat))
     headers.append(('Honeyport-Priority', str(call.priority)))
-    if call.resumes:
+    if call.is_resumption:
         path = f'/v1/streams/{call.request_id}?after={call.resume_after}'
         return http.Request(method='GET', path=path, headers=headers)
     return http.Request(
--- a/src/honeyport/backend/plain.py
+++ b/src/honeyport/backend/plain.py
@@ -61,8 +61,8 @@
     ]
     if call.key:
         headers.append(('Idempotency-Key', call.key))
-    if call.parent:
-        headers.append(('traceparent', call.parent))
+    if call.traceparent:
+        headers.append(('traceparent', call.traceparent))
     return headers
 
 
--- a/src/honeyport/exchange.py
+++ b/src/honeyport/exchange.py
@@ -43,9 +43,9 @@
     attempt: int = 1
     key: str = ''
     resume_after: int = NOT_RESUMED
-    parent: str = ''
+    traceparent: str = ''
     priority: int = 0
-    patience_s: float = 0.0
+    queue_timeout_s: float = 0.0
     linger: bool = False
 
     @property
@@ -54,11 +54,11 @@
         return not self.key
 
     @property
-    def resumes(self) -> bool:
+    def is_resumption(self) -> bool:
         """Whether this asks for the rest of a stream."""
         return self.resume_after != NOT_RESUMED
 
-    def left(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds until the deadline."""
         return self.deadline - asyncio.get_running_loop().time()
 
--- a/src/honeyport/router/claims.py
+++ b/src/honeyport/router/claims.py
@@ -76,7 +76,7 @@
         """
         request = self._claim_request(_Action.CLAIM, call, holder)
         try:
-            async with asyncio.timeout(call.left()):
+            async with asyncio.timeout(call.remaining_s()):
                 answer = await self._session.claim(request)
         except TimeoutError:
             self._release_in_background(call, holder)
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -153,7 +153,7 @@
         self, call: exchange.Call, backend: str
     ) -> exchange.Answer:
         """Serve a call from a peer."""
-        with self._tracer.span('steward', call.parent, backend=backend):
+        with self._tracer.span('steward', call.traceparent, backend=backend):
             answer = self._admission.answer(call, backend)
             async with contextlib.aclosing(answer):
                 async for frame in answer:
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -113,7 +113,7 @@
         attempts = [(server, 0.0) for server in servers] + [
             (servers[0], _UNTIL_DEADLINE_S)
         ]
-        if call.resumes:
+        if call.is_resumption:
             attempts = [
                 (hint or servers[0], _UNTIL_DEADLINE_S)
             ]  # holds the stream
@@ -128,7 +128,7 @@
             if len(lost_errors) >= suspicion.PERMIT_MIN_ENDS:
                 await asyncio.sleep(_SUSPECT_DELAY_S)
             try:
-                attempt = attrs.evolve(call, patience_s=patience_s)
+                attempt = attrs.evolve(call, queue_timeout_s=patience_s)
                 async for frame in self._answer_resuming(attempt, server):
                     started = True
                     yield frame
@@ -204,7 +204,7 @@
                 call,
                 attempt=call.attempt + attempt - 1,
                 resume_after=offset.last_event,
-                patience_s=_UNTIL_DEADLINE_S,
+                queue_timeout_s=_UNTIL_DEADLINE_S,
             )
 
     def _handover_deadline(self, call: exchange.Call) -> float:
--- a/src/honeyport/router/edge.py
+++ b/src/honeyport/router/edge.py
@@ -171,9 +171,9 @@
                 call = self._validate(build())
                 services.counters.count('requests', service=call.service)
                 with services.tracer.span(
-                    'entry', call.parent, request=call.request_id
+                    'entry', call.traceparent, request=call.request_id
                 ) as parent:
-                    call = attrs.evolve(call, parent=parent)
+                    call = attrs.evolve(call, traceparent=parent)
                     await self._write_until_deadline(call, started_at)
         except errors.HoneyportError as error:
             await self._write_error(error)
@@ -210,7 +210,7 @@
             body=self.request.body,
             key=self.header(KEY),
             resume_after=resume_after,
-            parent=self.header('traceparent'),
+            traceparent=self.header('traceparent'),
             priority=int(self.number(PRIORITY, 0)),
             linger=bool(self.header(LINGER)),
         )
--- a/src/honeyport/router/frames.py
+++ b/src/honeyport/router/frames.py
@@ -20,12 +20,12 @@
         path=call.path,
         headers=_encode_headers(call.headers),
         body=call.body,
-        deadline_s=call.left(),
+        deadline_s=call.remaining_s(),
         idempotency_key=call.key,
         resume_after=call.resume_after + 1,
-        traceparent=call.parent,
+        traceparent=call.traceparent,
         priority=call.priority,
-        patience_s=call.patience_s,
+        patience_s=call.queue_timeout_s,
         linger=call.linger,
     )
 
@@ -49,9 +49,9 @@
         deadline=now + message.deadline_s,
         key=message.idempotency_key,
         resume_after=message.resume_after - 1,
-        parent=message.traceparent,
+        traceparent=message.traceparent,
         priority=message.priority,
-        patience_s=message.patience_s,
+        queue_timeout_s=message.patience_s,
         linger=message.linger,
     )
 
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -327,7 +327,7 @@
             if not len(server.queue) and self._has_free_slot(server):
                 server.running += 1
                 return server
-            if call.patience_s <= 0:
+            if call.queue_timeout_s <= 0:
                 raise errors.BackendFull(f'{backend} is at its limit')
             if await self._wait_for_slot(server, call):
                 return server
@@ -350,8 +350,8 @@
         now = asyncio.get_running_loop().time()
         wait_s += self._backoffs.remaining_s(server.name, now)
         is_queue_full = len(server.queue) >= self._state.bundle.limits.queue
-        timeout_s = min(call.left(), call.patience_s)
-        if call.patience_s < call.left() and (
+        timeout_s = min(call.remaining_s(), call.queue_timeout_s)
+        if call.queue_timeout_s < call.remaining_s() and (
             is_queue_full or wait_s > timeout_s
         ):
             raise errors.BackendFull(f'{server.name} is at its limit')
@@ -362,7 +362,7 @@
         try:
             return await server.queue.wait(call.account, share, timeout_s)
         except errors.Overloaded:
-            if timeout_s < call.left():
+            if timeout_s < call.remaining_s():
                 raise errors.BackendFull(
                     f'{server.name} is at its limit'
                 ) from None
