--- a/src/honeyport/control/daemon.py
+++ b/src/honeyport/control/daemon.py
@@ -36,16 +36,16 @@
     reconciler = orders.EngineReconciler(
         control_group.node, control_group.routers, counters
     )
-    tree.task('orders', reconciler.run)
+    tree.start_task('orders', reconciler.run)
     if settings.seed:
         seed_text = pathlib.Path(settings.seed).read_text(encoding='utf-8')
         signed = signing.from_json(seed_text)
-        tree.task('seed', lambda: operator_service.seed(signed))
+        tree.start_task('seed', lambda: operator_service.seed(signed))
     if settings.instance_list:
         poller = instances.Poller(
             settings.instance_list, control_group.node, control_group.routers
         )
-        tree.task('instances', poller.run)
+        tree.start_task('instances', poller.run)
     status_server = status.serve(settings.http_listen, counters, lambda: '')
-    tree.on_stop('status', supervisor.closer(status_server))
+    tree.on_stop('status', supervisor.close_hook(status_server))
     return control_group.node
--- a/src/honeyport/control/group.py
+++ b/src/honeyport/control/group.py
@@ -106,16 +106,16 @@
     group.server.add_insecure_port(settings.listen)
     await group.server.start()
     tree.on_stop('grpc', lambda: group.server.stop(_STOP_GRACE_S))
-    tree.task('replica', group.node.run)
-    tree.task('sessions', group.routers.run)
-    tree.task('claims', group.routers.run_claims)
-    tree.task('introductions', group.introductions.run)
-    tree.task('suspects', group.routers.suspects.persist)
+    tree.start_task('replica', group.node.run)
+    tree.start_task('sessions', group.routers.run)
+    tree.start_task('claims', group.routers.run_claims)
+    tree.start_task('introductions', group.introductions.run)
+    tree.start_task('suspects', group.routers.suspects.persist)
     target_size = max(settings.voters, len(settings.members))
     manager = membership_manager.MembershipManager(
         group.node, group.routers, target_size
     )
-    tree.task('succession', manager.run)
+    tree.start_task('succession', manager.run)
 
 
 def _connect(
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -156,7 +156,7 @@
                 self._settings.peer_listen, self._session, tree
             )
         tree.on_stop('connections', self._close)
-        tree.task('session', self._session.run)
+        tree.start_task('session', self._session.run)
         tree.on_stop('drain', self._drain)
 
     async def _drain(self) -> None:
--- a/src/honeyport/platform/node.py
+++ b/src/honeyport/platform/node.py
@@ -104,11 +104,11 @@
             operator_services=operator_services,
         )
         for server in pages.serve(components):
-            tree.on_stop('pages', supervisor.closer(server))
+            tree.on_stop('pages', supervisor.close_hook(server))
         await gateway.start(
             tree, early.take_socket(self._boot_settings.caller_address)
         )
-        tree.task('settings', self._poll_settings)
+        tree.start_task('settings', self._poll_settings)
 
     def reload(self) -> None:
         """Reload the settings file; an invalid file changes nothing."""
--- a/src/honeyport/platform/replica.py
+++ b/src/honeyport/platform/replica.py
@@ -60,8 +60,8 @@
     control_group.routers.use_instance_lists(instance_catalog.lists)
     gateway.register(control_group.server)
     await group.start(control_group, settings, tree)
-    tree.task('instances', instance_catalog.run)
-    tree.task('places', instance_catalog.persist_places)
+    tree.start_task('instances', instance_catalog.run)
+    tree.start_task('places', instance_catalog.persist_places)
     return OperatorServices(
         configurations=replacement.Replacements(control_group.node),
         evacuations=evacuations.Evacuations(control_group.node),
--- a/src/honeyport/standin/engine_api.py
+++ b/src/honeyport/standin/engine_api.py
@@ -166,5 +166,5 @@
     engine = engines.Engine(settings)
     host, port = roles.split(settings.listen)
     server = application(engine).listen(port, host)
-    tree.on_stop('http', supervisor.closer(server))
+    tree.on_stop('http', supervisor.close_hook(server))
     return engine
--- a/src/honeyport/standin/service.py
+++ b/src/honeyport/standin/service.py
@@ -88,4 +88,4 @@
     )
     host, port = roles.split(settings.listen)
     server = application.listen(port, host)
-    tree.on_stop('http', supervisor.closer(server))
+    tree.on_stop('http', supervisor.close_hook(server))
--- a/src/honeyport/standin/weights.py
+++ b/src/honeyport/standin/weights.py
@@ -54,4 +54,4 @@
     )
     host, port = roles.split(settings.listen)
     server = application.listen(port, host)
-    tree.on_stop('http', supervisor.closer(server))
+    tree.on_stop('http', supervisor.close_hook(server))
--- a/src/honeyport/supervisor.py
+++ b/src/honeyport/supervisor.py
@@ -34,7 +34,7 @@
         """The names of the children in starting order."""
         return [name for name, _ in self._children]
 
-    def task(self, name: str, run: Run) -> None:
+    def start_task(self, name: str, run: Run) -> None:
         """Start a child that runs until it is cancelled."""
         child = asyncio.create_task(self._keep(name, run), name=name)
         self._children.append((name, child))
@@ -81,7 +81,7 @@
         await asyncio.wait([task], timeout=_CANCEL_AGAIN_S)
 
 
-def closer(server: httpserver.HTTPServer) -> Stop:
+def close_hook(server: httpserver.HTTPServer) -> Stop:
     """Return the stop step of an HTTP server."""
 
     async def close() -> None:
