--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -50,9 +50,9 @@
 @behave.when('{count:d} streams break at once, {at_one:d} at one gateway')
 def step_break(context, count, at_one):
     gateway_numbers = [0] * at_one
-    others = len(context.budgets) - 1
+    remaining_gateways = len(context.budgets) - 1
     gateway_numbers += [
-        1 + number % others for number in range(count - at_one)
+        1 + number % remaining_gateways for number in range(count - at_one)
     ]
     context.repeated = sum(
         context.budgets[number].try_spend(_SERVICE, context.now)
--- a/features/steps/domain_steps.py
+++ b/features/steps/domain_steps.py
@@ -141,15 +141,16 @@
 
 
 @behave.then(
-    'of {count:d} requests with prompts at most {most:d} go to thu-duc at once'
+    'of {count:d} requests with prompts at most {limit:d} go to thu-duc at '
+    'once'
 )
-def step_chosen_rarely(context, count, most):
+def step_chosen_rarely(context, count, limit):
     fixture = context.fixture
     chosen = fixture.run(fixture.send(count, kinds=(True,)))
     count_in_domain = sum(
         choice.instance.domain == 'thu-duc' for choice in chosen
     )
-    assert count_in_domain <= most, count_in_domain
+    assert count_in_domain <= limit, count_in_domain
 
 
 @behave.then('a request is refused as not run, with a retry time')
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -285,10 +285,10 @@
     assert instances.BODY not in context.response.body
 
 
-@behave.then('its error has "ran" set to {said}')
-def step_reports_ran(context, said):
+@behave.then('its error has "ran" set to {ran}')
+def step_reports_ran(context, ran):
     error = json.loads(context.response.body)['error']
-    assert str(error['ran']) == said, error
+    assert str(error['ran']) == ran, error
 
 
 @behave.then('it has a Retry-After')
@@ -310,9 +310,9 @@
     assert first <= retry_after_ms <= last, context.response
 
 
-@behave.then('it is answered within {most:d} ms')
-def step_answered_within(context, most):
-    assert context.took_s * 1000 <= most, context.took_s
+@behave.then('it is answered within {limit_ms:d} ms')
+def step_answered_within(context, limit_ms):
+    assert context.took_s * 1000 <= limit_ms, context.took_s
 
 
 @behave.then('all get the complete answer of an instance')
@@ -418,6 +418,6 @@
 
 @behave.then('the instance that rejected a request got no more')
 def step_rejecting_avoided(context):
-    first, *others = context.fixture.script.arrivals
-    assert others
-    assert first.instance not in {arrival.instance for arrival in others}
+    first, *later = context.fixture.script.arrivals
+    assert later
+    assert first.instance not in {arrival.instance for arrival in later}
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -207,14 +207,14 @@
         context.holders.add(f'part-{number}', 'a')
 
 
-@behave.then('the latest {kept:d} of them are remembered')
-def step_remembered(context, kept):
+@behave.then('the latest {limit:d} of them are remembered')
+def step_remembered(context, limit):
     remembered = [
         number
         for number in range(context.count)
         if context.holders.holders_of(f'part-{number}')
     ]
-    assert remembered == list(range(context.count - kept, context.count))
+    assert remembered == list(range(context.count - limit, context.count))
 
 
 @behave.then(
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -46,6 +46,10 @@
 
     :param state: this instance's view of the fleet
     :param gate: admits requests while the lease is valid
+    :param signals: rests and departures that instances announced
+    :param budgets: retry budgets by service
+    :param detector: detects instances that ended with requests running
+    :param suspect_tracker: permits for requests that may crash instances
     """
 
     def __init__(
@@ -219,6 +223,7 @@
     async def _send(
         self, exchange: exchanges.Exchange, instance: placement.Instance
     ) -> attempt.Answer:
+        """Connect to an instance, send the request and check its answer."""
         exchange.tried.add(instance.id)
         exchange.offers += 1
         started_at = asyncio.get_running_loop().time()
--- a/src/honeyport/gateway/headers.py
+++ b/src/honeyport/gateway/headers.py
@@ -140,11 +140,11 @@
 def _without(
     headers: httputil.HTTPHeaders, hidden: collections.abc.Container[str]
 ) -> httputil.HTTPHeaders:
-    kept = httputil.HTTPHeaders()
+    filtered = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in hidden:
-            kept.add(name, value)
-    return kept
+            filtered.add(name, value)
+    return filtered
 
 
 def _connection_options(headers: httputil.HTTPHeaders) -> set[str]:
