--- a/features/router/loads.feature
+++ b/features/router/loads.feature
@@ -1,34 +1,34 @@
-Feature: All routers get the same sums, and take their own part off
+Feature: Routers subtract their own loads from totals that are the same for all
 
-  Scenario: a router knows what the others have
+  Scenario: a router knows the loads of the other routers
     Given the reports of three routers on two backend servers
-    Then each router knows what the other two have
+    Then each router knows the loads of the other two
 
-  Scenario: only what changed is sent
+  Scenario: only changed loads are sent
     Given the reports of three routers on two backend servers
     When one of them has one request more on the first
-    Then the next message names the first alone
-    And each router knows what the other two have
+    Then the next message contains the first one alone
+    And each router knows the loads of the other two
 
-  Scenario: a message is made once for all
+  Scenario: one message serves all routers
     Given the reports of three routers on two backend servers
     Then all routers get the same message
 
-  Scenario: a router that is far behind gets everything
+  Scenario: a router that is far behind gets all loads
     Given the reports of three routers on two backend servers
-    When the sums change 40 times
-    Then a router that has the first sum gets everything
+    When the totals change 40 times
+    Then a router that has the first totals gets all loads
 
-  Scenario: what is over is forgotten
+  Scenario: backend servers without requests are removed
     Given the reports of three routers on two backend servers
-    When all of them have ended
+    When all requests have ended
     Then no router knows of any request
 
-  Scenario: rest that was asked of some gateways is known to all
+  Scenario: an instance is unreachable once gateways of two domains report it
     Given the reports of three gateways, two of them in one domain
-    When gateways 1 and 2 report that the first instance rests
-    Then all gateways leave 0 instances alone
-    When gateways 1 and 3 report that the first instance rests
-    Then all gateways leave 1 instances alone
-    When no gateway reports that any more
-    Then all gateways leave 0 instances alone
+    When gateways 1 and 2 report that the first instance is backing off
+    Then all gateways know 0 instances as unreachable
+    When gateways 1 and 3 report that the first instance is backing off
+    Then all gateways know 1 instances as unreachable
+    When no gateway reports an instance any more
+    Then all gateways know 0 instances as unreachable
--- a/features/router/resume.feature
+++ b/features/router/resume.feature
@@ -1,5 +1,5 @@
-Feature: Offsets in a stream of events
+Feature: Resumption of interrupted event streams
 
-  Scenario: however a stream is cut, the caller gets each byte once
+  Scenario: a caller gets each byte once wherever a stream is interrupted
     When 200 random streams are cut at random places and resumed
     Then what the caller has is always the whole stream
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the loads of all routers."""
+"""Steps about the exchange of loads between routers and the leader."""
 
 import behave
 
@@ -11,11 +11,11 @@
 _DOMAINS = ('thu-duc', 'thu-duc', 'tan-binh')
 _SERVERS = ('i-1', 'i-2')
 _LEASE_S = 3600.0
-_FRESH_S = 3600.0
+_MAX_LOAD_AGE_S = 3600.0
 
 
-class Setting:
-    """The leader's fleet, and what three routers know."""
+class LoadsFixture:
+    """The fleet state of the leader and of three routers."""
 
     def __init__(self, **hello):
         listed = [
@@ -23,7 +23,7 @@
             for name, domain in zip(_SERVERS, _DOMAINS, strict=False)
         ]
         lists = instance_lists.InstanceLists()
-        if hello:  # of those who read the list of instances
+        if hello:  # gateways read the list of instances
             lists.replace(1, listed)
             lists.publish()
         self.fleet = fleet.Fleet(1, 0.0, lists)
@@ -35,7 +35,7 @@
             }
             for number, name in enumerate(_ROUTERS)
         }
-        self.resting = dict.fromkeys(_ROUTERS, ())
+        self.backing_off = dict.fromkeys(_ROUTERS, ())
         self.sessions = {
             name: self.fleet.register(
                 pb.Hello(router=name, domain=domain, **hello),
@@ -47,19 +47,19 @@
         self.states = {name: fleetstate.FleetState() for name in _ROUTERS}
         for state in self.states.values():
             state.apply_instances(pb.Instances(number=1, instances=listed))
-        self.has = dict.fromkeys(_ROUTERS, 0)
+        self.applied_numbers = dict.fromkeys(_ROUTERS, 0)
         self.number = 0
-        self.exchange()
+        self.exchange_loads()
 
-    def exchange(self):
-        """Send all reports, then bring all routers up to date."""
+    def exchange_loads(self):
+        """Send all reports to the leader and its loads to all routers."""
         self.number += 1
         reports = {}
         for name in _ROUTERS:
             report = pb.Report(
                 number=self.number, stamp=self.fleet.stamp(self.now)
             )
-            report.resting.extend(self.resting[name])
+            report.resting.extend(self.backing_off[name])
             for server, running in self.running[name].items():
                 report.residuals.add(backend=server, running=running)
             report.loads.add(
@@ -68,104 +68,112 @@
             reports[name] = report
             session = self.sessions[name]
             self.fleet.apply_report(session, report, self.now, _LEASE_S)
-        self.fleet.update_loads(self.now, _FRESH_S)
+        self.fleet.update_loads(self.now, _MAX_LOAD_AGE_S)
         self.messages = [
-            self.fleet.loads.message(self.has[name]) for name in _ROUTERS
+            self.fleet.loads.message(self.applied_numbers[name])
+            for name in _ROUTERS
         ]
         for name, message in zip(_ROUTERS, self.messages, strict=True):
             assert self.sessions[name].counted_report_number == self.number
             self.states[name].apply_own_report(reports[name])
             self.states[name].apply_loads(message)
-            self.has[name] = message.number
+            self.applied_numbers[name] = message.number
 
 
 @behave.given('the reports of three routers on two backend servers')
 def step_reports(context):
-    context.setting = Setting()
+    context.fixture = LoadsFixture()
 
 
 @behave.given('the reports of three gateways, two of them in one domain')
 def step_gateways(context):
-    context.setting = Setting(no_view=True)
+    context.fixture = LoadsFixture(no_view=True)
 
 
-@behave.when('gateways {numbers} report that the first instance rests')
-def step_rests(context, numbers):
+@behave.when(
+    'gateways {numbers} report that the first instance is backing off'
+)
+def step_backing_off(context, numbers):
     for number in numbers.split(' and '):
         name = _ROUTERS[int(number) - 1]
-        context.setting.resting[name] = _SERVERS[:1]
-    context.setting.exchange()
+        context.fixture.backing_off[name] = _SERVERS[:1]
+    context.fixture.exchange_loads()
 
 
-@behave.when('no gateway reports that any more')
-def step_rested(context):
-    context.setting.resting = dict.fromkeys(_ROUTERS, ())
-    context.setting.exchange()
+@behave.when('no gateway reports an instance any more')
+def step_no_reports(context):
+    context.fixture.backing_off = dict.fromkeys(_ROUTERS, ())
+    context.fixture.exchange_loads()
 
 
-@behave.then('all gateways leave {count:d} instances alone')
-def step_alone(context, count):
-    for name, state in context.setting.states.items():
+@behave.then('all gateways know {count:d} instances as unreachable')
+def step_unreachable(context, count):
+    for name, state in context.fixture.states.items():
         found = state.unreachable
         assert found == set(_SERVERS[:count]), (name, found)
 
 
 @behave.when('one of them has one request more on the first')
-def step_more(context):
-    context.setting.running[_ROUTERS[0]][_SERVERS[0]] += 1
-    context.setting.exchange()
+def step_one_more(context):
+    context.fixture.running[_ROUTERS[0]][_SERVERS[0]] += 1
+    context.fixture.exchange_loads()
 
 
-@behave.when('the sums change {count:d} times')
+@behave.when('the totals change {count:d} times')
 def step_change(context, count):
-    context.first = context.setting.has[_ROUTERS[0]]
+    context.first = context.fixture.applied_numbers[_ROUTERS[0]]
     for _ in range(count):
-        step_more(context)
+        step_one_more(context)
 
 
-@behave.when('all of them have ended')
+@behave.when('all requests have ended')
 def step_ended(context):
-    for running in context.setting.running.values():
+    for running in context.fixture.running.values():
         running.clear()
-    context.setting.exchange()
+    context.fixture.exchange_loads()
 
 
-@behave.then('each router knows what the other two have')
-def step_knows(context):
-    setting = context.setting
-    for name, state in setting.states.items():
-        others = [one for one in _ROUTERS if one != name]
+@behave.then('each router knows the loads of the other two')
+def step_knows_loads(context):
+    fixture = context.fixture
+    for name, state in fixture.states.items():
+        other_routers = [router for router in _ROUTERS if router != name]
         for server in _SERVERS:
-            wanted = sum(setting.running[one][server] for one in others)
-            assert state.running_elsewhere_on(server) == wanted, (name, server)
+            expected = sum(
+                fixture.running[router][server] for router in other_routers
+            )
+            assert state.running_elsewhere_on(server) == expected, (
+                name,
+                server,
+            )
 
 
-@behave.then('the next message names the first alone')
-def step_names(context):
-    for message in context.setting.messages:
+@behave.then('the next message contains the first one alone')
+def step_contains_first(context):
+    for message in context.fixture.messages:
         named = [load.backend for load in message.residuals]
         assert message.base and named == [_SERVERS[0]], message
 
 
 @behave.then('all routers get the same message')
 def step_same_message(context):
-    first, *others = context.setting.messages
-    assert all(message is first for message in others)
+    first, *other_routers = context.fixture.messages
+    assert all(message is first for message in other_routers)
 
 
-@behave.then('a router that has the first sum gets everything')
-def step_everything(context):
-    message = context.setting.fleet.loads.message(context.first)
+@behave.then('a router that has the first totals gets all loads')
+def step_all_loads(context):
+    message = context.fixture.fleet.loads.message(context.first)
     assert not message.base and len(message.residuals) == len(_SERVERS)
 
 
 @behave.then('no router knows of any request')
-def step_none(context):
-    for state in context.setting.states.values():
+def step_no_requests(context):
+    for state in context.fixture.states.values():
         assert not any(
             state.running_elsewhere_on(server) for server in _SERVERS
         )
         assert not state.running_elsewhere
         assert not state._peer_loads._running, (
-            'names of what is gone must not pile up'
+            'entries without requests must be removed'
         )
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -1,4 +1,4 @@
-"""Steps about admission, with a steward that has no process around it."""
+"""Steps about admission control, without a process of a router."""
 
 import asyncio
 import contextlib
@@ -21,8 +21,8 @@
 
 
 @behave.given(
-    'a steward of {count:d} engines with {slots:d} slots and nothing running '
-    'elsewhere'
+    'a router that owns {count:d} engines with {slots:d} slots and nothing '
+    'running elsewhere'
 )
 def step_steward(context, count, slots):
     async def make():
@@ -49,7 +49,7 @@
 
 
 def config(count, slots):
-    """Return a first bundle as control sends it."""
+    """Return the message with the first bundle, a snapshot."""
     bundle = model.Bundle(
         version=1,
         signers=model.Signers(keys={}),
@@ -73,7 +73,7 @@
     )
 
 
-@behave.given('its engines turn calls away and ask for {seconds:g} s of rest')
+@behave.given('its engines refuse calls with a Retry-After of {seconds:g} s')
 def step_turn_away(context, seconds):
     context.arrived = []
     answer = (
@@ -103,7 +103,7 @@
     context.to_stop.append(stop)
 
 
-@behave.when('{seconds:g} s pass with a settled view')
+@behave.when('{seconds:g} s pass with a converged view')
 def step_pass(context, seconds):
     controller = context.admission
 
@@ -122,7 +122,7 @@
     assert len(context.arrived) == count, len(context.arrived)
 
 
-@behave.when('{count:d} calls wait for room, {each:d} at each engine')
+@behave.when('{count:d} calls are queued, {each:d} at each engine')
 def step_calls_wait(context, count, each):
     async def begin():
         for name in context.engines:
@@ -136,7 +136,7 @@
 
 
 async def first(controller, name):
-    """Wait for the first frame of an answer."""
+    """Return the first frame of an answer."""
     loop = asyncio.get_running_loop()
     call = exchange.Call(
         request_id=name,
@@ -166,7 +166,7 @@
     assert limits == {count}, limits
 
 
-@behave.when('the lease lapses and the view is settled after that')
+@behave.when('the lease lapses and the view converges after that')
 def step_lapse(context):
     async def lapse():
         state = context.admission._state
@@ -187,14 +187,14 @@
     context.run(lapse())
 
 
-@behave.then('all of them are refused with "{code}" and none was sent')
+@behave.then('all calls are refused with "{code}" and none was sent')
 def step_refused_waiting(context, code):
     codes = {task.exception().code for task in context.calls}
     assert codes == {code}, codes
     assert context.admission.running == 0
 
 
-@behave.then('all of them still wait')
+@behave.then('all calls are still queued')
 def step_still(context):
     waiting = [not task.done() for task in context.calls]
     stop_calls(context)
@@ -203,7 +203,7 @@
 
 
 def stop_calls(context):
-    """Cancel what still waits."""
+    """Cancel the calls that are still queued."""
 
     async def stop():
         for task in context.calls:
--- a/features/steps/version_steps.py
+++ b/features/steps/version_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the messages that bring routers to a new version."""
+"""Steps about the messages that update routers to a new version."""
 
 import zlib
 
@@ -15,8 +15,8 @@
 _SERVICES = {'app': model.Service(kind=model.SERVICE)}
 
 
-def accepted(version, routes):
-    """Return a version with some routes, as the leader holds it."""
+def make_accepted(version, routes):
+    """Return an accepted version with some routes, as on the leader."""
     bundle = model.Bundle(
         version=version,
         signers=model.Signers(keys={}),
@@ -36,45 +36,47 @@
     return machine.Accepted(version, contents.digest(version), contents)
 
 
-def router(context, version):
-    """Return the state of a router that holds a version."""
+def make_router_state(context, version):
+    """Return the state of a router that has a version."""
     state = fleetstate.FleetState()
-    held = accepted(version, 1)
-    state.apply_config(versions.BundleVersions().message(0, held))
+    accepted_version = make_accepted(version, 1)
+    state.apply_config(versions.BundleVersions().message(0, accepted_version))
     assert state.version == version
     return state
 
 
 @behave.given(
-    'the versions {old:d} and {new:d}, with {count:d} routes between them'
+    'the versions {old:d} and {new:d}, which differ by {count:d} routes'
 )
 def step_versions(context, old, new, count):
     context.count = count
-    context.newest = accepted(new, count + 1)
+    context.newest = make_accepted(new, count + 1)
     context.versions = versions.BundleVersions()
-    context.versions.add(accepted(old, 1))
+    context.versions.add(make_accepted(old, 1))
     context.versions.add(context.newest)
 
 
 @behave.then('two routers at version {version:d} get the same message')
 def step_same(context, version):
     context.message = context.versions.message(version, context.newest)
-    again = context.versions.message(version, context.newest)
-    assert context.message is again
+    second_message = context.versions.message(version, context.newest)
+    assert context.message is second_message
 
 
-@behave.then('it takes less than a tenth of what the routes take')
+@behave.then('it is smaller than a tenth of the routes')
 def step_small(context):
-    whole = sum(map(len, context.newest.entries.values()))
-    assert context.message.ByteSize() < whole / 10, context.message.ByteSize()
+    total_bytes = sum(map(len, context.newest.entries.values()))
+    assert context.message.ByteSize() < total_bytes / 10, (
+        context.message.ByteSize()
+    )
 
 
 @behave.then(
-    'a router at version {old:d} that takes it has all routes of version '
+    'a router at version {old:d} that applies it has all routes of version '
     '{new:d}'
 )
 def step_takes(context, old, new):
-    state = router(context, old)
+    state = make_router_state(context, old)
     assert state.apply_config(context.message)
     assert state.version == new
     assert len(state.bundle.routes) == context.count + 1
@@ -91,7 +93,7 @@
     '{old:d} fails with "{code}"'
 )
 def step_unfit(context, version, old, code):
-    context.state = router(context, version)
+    context.state = make_router_state(context, version)
     try:
         context.state.apply_config(
             context.versions.message(old, context.newest)
@@ -99,7 +101,7 @@
     except errors.HoneyportError as error:
         assert error.code == code, error.code
         return
-    raise AssertionError('it was taken')
+    raise AssertionError('the message was applied')
 
 
 @behave.then('its version is still {version:d}')
@@ -107,17 +109,19 @@
     assert context.state.version == version
 
 
-@behave.given('a group that has a whole configuration of {count:d} routes')
+@behave.given(
+    'a control group that has a whole configuration of {count:d} routes'
+)
 def step_whole_configuration(context, count):
     context.machine = machine.Machine()
-    replace(context.machine, 1, count)
+    apply_replacement(context.machine, 1, count)
     context.before = context.machine.accepted
     context.count = count
 
 
-@behave.when('an operator sends the same with one route more')
+@behave.when('an operator sends the same configuration with one more route')
 def step_one_more(context):
-    replace(context.machine, 2, context.count + 1)
+    apply_replacement(context.machine, 2, context.count + 1)
 
 
 @behave.then('the two versions share the entries of all {count:d} routes')
@@ -129,13 +133,13 @@
         if key.startswith('routes/') and after.entries[key] is value
     ]
     assert len(shared) == count, len(shared)
-    wanted = accepted(2, count + 1)
-    assert after.digest == wanted.digest
+    expected = make_accepted(2, count + 1)
+    assert after.digest == expected.digest
 
 
-def replace(group, version, routes):
-    """Apply a whole configuration, as the log brings it."""
-    text = bundle_entries.canonical(accepted(version, routes).entries)
+def apply_replacement(group, version, routes):
+    """Apply a log entry with a whole configuration."""
+    text = bundle_entries.canonical(make_accepted(version, routes).entries)
     command = pb.ReplaceBundle(
         version=version, entries=zlib.compress(text.encode())
     )
