--- a/features/policy/suspicion.feature
+++ b/features/policy/suspicion.feature
@@ -72,12 +72,12 @@
     And at least <requests> were sent
 
     Examples: no request causes the ends
-      | gateways | instances | load                               | refused | requests |
-      | 9        | 6         | crashes of 0.15 every 3 s          | 0       | 6000     |
-      | 9        | 6         | crashes of 0.34 every 2 s          | 30      | 6000     |
+      | gateways | instances | load                                | refused | requests |
+      | 9        | 6         | crashes of 0.15 every 3 s           | 0       | 6000     |
+      | 9        | 6         | crashes of 0.34 every 2 s           | 30      | 6000     |
       | 9        | 6         | a frequent request, crashes of 0.15 | 0       | 6000     |
       | 40       | 48        | a frequent request, crashes of 0.15 | 0       | 6000     |
-      | 40       | 48        | a domain that ends every 5 s       | 0       | 30000    |
+      | 40       | 48        | a domain that ends every 5 s        | 0       | 30000    |
 
     Examples: a harmful request runs beside harmless ones
       | gateways | instances | load                               | refused | requests |
@@ -91,6 +91,6 @@
     Then each harmful request ends at most <ends> instances
 
     Examples:
-      | gateways | instances | load                                     | ends |
-      | 9        | 6         | one harmful request                      | 3    |
-      | 9        | 6         | nine simultaneous harmful requests       | 9    |
+      | gateways | instances | load                               | ends |
+      | 9        | 6         | one harmful request                | 3    |
+      | 9        | 6         | nine simultaneous harmful requests | 9    |
