--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -28,8 +28,8 @@
         self.names = [f'g-{number}' for number in range(gateways)]
         self.instances = [f'i-{number:02}' for number in range(instances)]
         self.cold = set(self.instances[:cold_count])
-        self.seen = {name: list(self.names) for name in self.names}
-        self.seen_lately = {}
+        self.known_gateways = {name: list(self.names) for name in self.names}
+        self.known_before = {}
         self.offered = 0
         self.sent = 0
         self.arrivals = collections.defaultdict(list)
@@ -37,35 +37,38 @@
     def play(self, per_s, hot_per_s, seconds, seed):
         """Simulate one load on a virtual clock."""
         loop = simulation.VirtualLoop()
-        drawn = random.Random(seed)
+        rng = random.Random(seed)
         random.seed(seed)
-        loop.run_until_complete(self._play(drawn, per_s, hot_per_s, seconds))
+        loop.run_until_complete(self._play(rng, per_s, hot_per_s, seconds))
 
-    async def _play(self, drawn, per_s, hot_per_s, seconds):
+    async def _play(self, rng, per_s, hot_per_s, seconds):
         gateways = [self._gateway(name) for name in self.names]
         prompt = self._hot_prompt()
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
-            await asyncio.sleep(drawn.expovariate(per_s))
+            await asyncio.sleep(rng.expovariate(per_s))
             parts = prompt
-            if drawn.random() >= hot_per_s / per_s:
-                parts = choices.prompt_parts(f'subject-{drawn.randrange(500)}')
-            self._send(drawn.choice(gateways), parts)
+            if rng.random() >= hot_per_s / per_s:
+                parts = choices.prompt_parts(f'subject-{rng.randrange(500)}')
+            self._send(rng.choice(gateways), parts)
 
     def _gateway(self, name):
-        made = choices.make_balancer(name, 'thu-duc', {})
-        made.set_cold_limits({choices.SERVICE: _TOLERANCE})
-        for members in (self.seen_lately.get(name), self.seen[name]):
+        balancer = choices.make_balancer(name, 'thu-duc', {})
+        balancer.set_cold_limits({choices.SERVICE: _TOLERANCE})
+        for members in (
+            self.known_before.get(name),
+            self.known_gateways[name],
+        ):
             if members is not None:
-                made.set_gateways(members)
+                balancer.set_gateways(members)
         listed = choices.instance_list(
             dict.fromkeys(self.instances, 'thu-duc')
         )
-        for one in listed.instances:
-            one.cold_ms = _COLD_MS if one.id in self.cold else 0
-        made.update(listed, {}, asyncio.get_running_loop().time())
-        return made
+        for instance in listed.instances:
+            instance.cold_ms = _COLD_MS if instance.id in self.cold else 0
+        balancer.update(listed, {}, asyncio.get_running_loop().time())
+        return balancer
 
     def _hot_prompt(self):
         """Return a prompt whose best-ranked place is on a cold instance."""
@@ -84,9 +87,9 @@
             return
         self.sent += 1
         loop = asyncio.get_running_loop()
-        held = choice.track(chosen)
-        held.__enter__()
-        loop.call_later(_DURATION_S, held.__exit__, None, None, None)
+        tracking = choice.track(chosen)
+        tracking.__enter__()
+        loop.call_later(_DURATION_S, tracking.__exit__, None, None, None)
         if chosen.id in self.cold:
             self.arrivals[chosen.id].append(loop.time())
 
@@ -119,16 +122,16 @@
     for fleet in context.fleets:
         half = len(fleet.names) // 2
         for name in fleet.names[:half]:
-            fleet.seen[name] = fleet.names[:half]
+            fleet.known_gateways[name] = fleet.names[:half]
 
 
 @behave.given('each gateway was just told of {count:d} others in place of all')
 def step_few(context, count):
     for fleet in context.fleets:
-        fleet.seen_lately = dict(fleet.seen)
+        fleet.known_before = dict(fleet.known_gateways)
         for index, name in enumerate(fleet.names):
             others = fleet.names[index + 1 :] + fleet.names[:index]
-            fleet.seen[name] = [name, *others[:count]]
+            fleet.known_gateways[name] = [name, *others[:count]]
 
 
 @behave.when(
--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -65,13 +65,13 @@
 
 
 @behave.then(
-    '{count:d} calls come within {seconds:g} seconds, at least {apart:g} '
+    '{count:d} calls come within {seconds:g} seconds, at least {interval_s:g} '
     'seconds apart in the end'
 )
-def step_calls(context, count, seconds, apart):
+def step_calls(context, count, seconds, interval_s):
     _, calls = _play(context, seconds)
     assert len(calls) == count, calls
-    assert calls[-1][1] - calls[-2][1] >= apart, calls
+    assert calls[-1][1] - calls[-2][1] >= interval_s, calls
 
 
 @behave.then('no router has expired after {seconds:g} seconds')
--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -6,7 +6,7 @@
 from honeyport.policy import suspicion
 
 _REQUEST = 'request'
-_APART_S = 4.0
+_INTERVAL_S = 4.0
 _HOUR_S = 3600
 _LOADS = {
     'crashes of 0.15 every 3 s': crashes.Load(share=0.15),
@@ -26,7 +26,7 @@
     context.register = suspicion.EndRegister({}, 0.0)
     context.now = 100.0
     context.count = 0
-    context.gone = set()
+    context.lost_gateways = set()
 
 
 @behave.when('{count:d} instances end while they run a request')
@@ -36,12 +36,12 @@
 
 
 @behave.when(
-    'one instance ends {count:d} times while it runs a request, {apart:g} s '
-    'apart'
+    'one instance ends {count:d} times while it runs a request, '
+    '{interval_s:g} s apart'
 )
-def step_end_again(context, count, apart):
+def step_end_again(context, count, interval_s):
     for _ in range(count):
-        context.now += apart
+        context.now += interval_s
         context.register.record_end(_REQUEST, 'i', context.now)
 
 
@@ -51,7 +51,7 @@
 )
 def step_end_seen(context, count, gateways, spread):
     for _ in range(count):
-        context.now += _APART_S
+        context.now += _INTERVAL_S
         context.count += 1
         for gateway in range(gateways):
             at = context.now + spread * gateway / gateways
@@ -71,7 +71,7 @@
 
 @behave.when('that gateway loses its lease')
 def step_lose(context):
-    context.gone.add(context.holder)
+    context.lost_gateways.add(context.holder)
 
 
 @behave.when(
@@ -79,11 +79,11 @@
 )
 def step_request_long(context, hours):
     started_at = context.now
-    context.tried = []
+    context.tried_at = []
     for second in range(1, hours * _HOUR_S):
         context.now = started_at + second
         if _request_permit(context, 'g').granted:
-            context.tried.append(second)
+            context.tried_at.append(second)
             context.register.release_permit(_REQUEST, 'g')
             context.register.record_end(_REQUEST, f't-{second}', context.now)
 
@@ -91,7 +91,7 @@
 @behave.when('a new leader loads the stored record')
 def step_new_leader(context):
     stored = {_REQUEST: context.register.ended_instances(_REQUEST)}
-    context.now += _APART_S
+    context.now += _INTERVAL_S
     context.register = suspicion.EndRegister(stored, context.now)
 
 
@@ -101,7 +101,7 @@
 def step_reported_again(context, count, gateways):
     for number in range(1, count + 1):
         for _ in range(gateways):
-            at = context.now - _APART_S * number
+            at = context.now - _INTERVAL_S * number
             context.register.record_end(_REQUEST, f'i-{number}', at)
 
 
@@ -124,8 +124,12 @@
 
 @behave.then('one of {count:d} gateways that ask may run it')
 def step_one(context, count):
-    names = (f'g-{number}' for number in range(count + len(context.gone)))
-    gateways = [name for name in names if name not in context.gone][:count]
+    names = (
+        f'g-{number}' for number in range(count + len(context.lost_gateways))
+    )
+    gateways = [name for name in names if name not in context.lost_gateways][
+        :count
+    ]
     granted = [
         gateway
         for gateway in gateways
@@ -137,7 +141,7 @@
 
 @behave.then('it was tried after {first:d}, {second:d} and {third:d} seconds')
 def step_tried(context, first, second, third):
-    assert context.tried == [first, second, third], context.tried
+    assert context.tried_at == [first, second, third], context.tried_at
 
 
 @behave.then('only an operator may clear it')
@@ -195,7 +199,7 @@
 
 
 def _end(context):
-    context.now += _APART_S
+    context.now += _INTERVAL_S
     context.count += 1
     name = f'i-{context.count}'
     context.register.record_end(_REQUEST, name, context.now)
@@ -206,5 +210,5 @@
         _REQUEST,
         holder,
         context.now,
-        lambda holder_name: holder_name not in context.gone,
+        lambda holder_name: holder_name not in context.lost_gateways,
     )
