--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -109,8 +109,11 @@
 @behave.then('all gateways know {count:d} instances as unreachable')
 def step_unreachable(context, count):
     for name, state in context.fixture.states.items():
-        found = state.unreachable
-        assert found == set(_SERVERS[:count]), (name, found)
+        unreachable_instances = state.unreachable
+        assert unreachable_instances == set(_SERVERS[:count]), (
+            name,
+            unreachable_instances,
+        )
 
 
 @behave.when('one of them has one request more on the first')
@@ -151,8 +154,8 @@
 @behave.then('the next message contains the first one alone')
 def step_contains_first(context):
     for message in context.fixture.messages:
-        named = [load.backend for load in message.residuals]
-        assert message.base and named == [_SERVERS[0]], message
+        backends = [load.backend for load in message.residuals]
+        assert message.base and backends == [_SERVERS[0]], message
 
 
 @behave.then('all routers get the same message')
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -24,7 +24,7 @@
     'a router that owns {count:d} engines with {slots:d} slots and nothing '
     'running elsewhere'
 )
-def step_steward(context, count, slots):
+def step_owner(context, count, slots):
     async def make():
         state = fleetstate.FleetState()
         state.apply_config(config(count, slots))
@@ -104,16 +104,16 @@
 
 
 @behave.when('{seconds:g} s pass with a converged view')
-def step_pass(context, seconds):
+def step_wait(context, seconds):
     controller = context.admission
 
-    async def pass_by():
+    async def wait_with_converged_view():
         for server in controller._servers.values():
             server.ready = True
             controller._admit_waiting(server)
         await asyncio.sleep(seconds)
 
-    context.run(pass_by())
+    context.run(wait_with_converged_view())
 
 
 @behave.then('{count:d} call has reached the engines')
@@ -124,14 +124,14 @@
 
 @behave.when('{count:d} calls are queued, {each:d} at each engine')
 def step_calls_wait(context, count, each):
-    async def begin():
+    async def queue_calls():
         for name in context.engines:
             for _ in range(each):
                 task = asyncio.ensure_future(first(context.admission, name))
                 context.calls.append(task)
         await asyncio.sleep(0.01)
 
-    context.run(begin())
+    context.run(queue_calls())
     assert len(context.calls) == count
 
 
@@ -155,13 +155,13 @@
 def step_may_run(context, count):
     controller = context.admission
 
-    async def look():
+    async def read_limits():
         return {
             controller._concurrency_limit(controller._servers[name])
             for name in context.engines
         }
 
-    limits = context.run(look())
+    limits = context.run(read_limits())
     stop_calls(context)
     assert limits == {count}, limits
 
@@ -195,7 +195,7 @@
 
 
 @behave.then('all calls are still queued')
-def step_still(context):
+def step_still_queued(context):
     waiting = [not task.done() for task in context.calls]
     stop_calls(context)
     assert all(waiting)
--- a/src/honeyport/router/chat.py
+++ b/src/honeyport/router/chat.py
@@ -10,9 +10,8 @@
 from honeyport.router import edge
 
 _PATH = '/v1/chat/completions'
-_IDENTIFYING_MESSAGES = (
-    2  # first messages, by which a chat without a name is identified
-)
+# First messages, from which the name of a chat without one is derived.
+_IDENTIFYING_MESSAGES = 2
 
 
 @edge.register(_PATH)
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -356,7 +356,7 @@
         The loads received are no older than that: the leader sends changes
         along with its answer.
 
-        :param sent: when the report was sent, in loop time
+        :param sent_at: when the report was sent, in loop time
         """
         lease_until = sent_at + lease_ms / 1000 * _CLOCK_DRIFT_FACTOR
         self._answered_report_sent_at = max(
--- a/src/honeyport/router/resume.py
+++ b/src/honeyport/router/resume.py
@@ -5,7 +5,7 @@
 caller has already received is removed from them.
 """
 
-_BOUNDARY = b'\n\n'
+_EVENT_END = b'\n\n'
 _ID_FIELD = b'id: '
 
 
@@ -36,10 +36,10 @@
             self._skip_bytes -= skipped_bytes
             payload = payload[skipped_bytes:]
         data = self._partial_event + payload
-        end = data.rfind(_BOUNDARY)
+        end = data.rfind(_EVENT_END)
         if end >= 0:
-            self._record_last_event(data[: end + len(_BOUNDARY)])
-            data = data[end + len(_BOUNDARY) :]
+            self._record_last_event(data[: end + len(_EVENT_END)])
+            data = data[end + len(_EVENT_END) :]
         self._partial_event = data
         return payload
 
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -274,8 +274,10 @@
             elif kind == 'replicas':
                 self._contacts.set_replicas(item.replicas.addresses)
             elif kind == 'instances':
-                found = listing.apply(self._state.instances, item.instances)
-                self._state.apply_instances(found)
+                instance_list = listing.apply(
+                    self._state.instances, item.instances
+                )
+                self._state.apply_instances(instance_list)
             elif kind == 'claim':
                 self._resolve_claim(item.claim)
             elif kind == 'suspects':
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -92,8 +92,8 @@
         The leader gives one permit for a request at a time.
 
         :param request: its fingerprint
-        :param when_over: calls a function once it is known whether the
-            instance survived the request
+        :param call_when_finished: calls a function once it is known whether
+            the instance survived the request
         :raises errors.RequestBarred: if too many instances crashed under it
         :raises errors.RequestHeld: if no permit was given
         """
@@ -247,16 +247,16 @@
 
 
 def _to_suspect(message: pb.Suspect, now: float) -> suspicion.Suspect:
-    until = float('-inf')
+    barred_until = float('-inf')
     if message.barred:
-        until = (
+        barred_until = (
             now + message.back_ms / 1000 if message.back_ms else float('inf')
         )
     return suspicion.Suspect(
         request=message.request.hex(),
         ends=message.ends,
         first_end_at=now - message.since_ms / 1000,
-        barred_until=until,
+        barred_until=barred_until,
     )
 
 
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -133,7 +133,7 @@
     ) -> None:
         """Call a function once an instance is not being probed.
 
-        :param call: called at once if no probes are running
+        :param callback: called at once if no probes are running
         """
         record = self._broken_requests.get(instance)
         if record is None or record.task is None:
