--- a/src/honeyport/cli.py
+++ b/src/honeyport/cli.py
@@ -101,13 +101,13 @@
         """Add a control replica as a learner; it votes once caught up."""
         from honeyport import operators
 
-        return operators.change(_split(control), name, address)
+        return operators.change_membership(_split(control), name, address)
 
     def remove(self, control: str, name: str) -> str:
         """Remove a control replica."""
         from honeyport import operators
 
-        return operators.change(_split(control), name, '')
+        return operators.change_membership(_split(control), name, '')
 
     def evacuate(self, control: str, domain: str) -> str:
         """Send nothing new to the backend servers of a failure domain.
--- a/src/honeyport/operators.py
+++ b/src/honeyport/operators.py
@@ -118,7 +118,7 @@
     return '\n'.join(lines)
 
 
-def change(control: list[str], name: str, address: str) -> str:
+def change_membership(control: list[str], name: str, address: str) -> str:
     """Add or remove a control replica."""
     request = pb.ChangeRequest(name=name, address=address)
     asyncio.run(
