--- a/features/cli/verbs.feature
+++ b/features/cli/verbs.feature
@@ -1,9 +1,9 @@
-Feature: The command line in a new user's hands
+Feature: The command line lists its commands and reports wrong arguments
 
-  Scenario Outline: help names every verb
-    When a user types "honeyport <words>"
-    Then the command ends with code 0
-    And the help names <verbs>
+  Scenario Outline: the help lists all commands
+    When "honeyport <words>" is run
+    Then the command exits with code 0
+    And the help lists <verbs>
 
     Examples:
       | words  | verbs                                             |
@@ -11,11 +11,11 @@
       | --help | bundle, fleet, key, standin, control, router, explain, losses, local |
       | -h     | bundle, fleet, key, standin, control, router, explain, losses, local |
 
-  Scenario Outline: an address that is none
-    When a user types "honeyport <words>"
-    Then the command ends with code 2
-    And the command says "HP-1003" and "'notanaddress' is no address"
-    And the command shows no traceback
+  Scenario Outline: an invalid address is reported
+    When "honeyport <words>" is run
+    Then the command exits with code 2
+    And the command prints "HP-1003" and "'notanaddress' is not an address"
+    And the command prints no traceback
 
     Examples:
       | words                                          |
--- a/features/steps/verb_steps.py
+++ b/features/steps/verb_steps.py
@@ -1,46 +1,46 @@
-"""Steps about the command line as a user types it."""
+"""Steps that run the command line in a process of its own."""
 
 import subprocess
 import sys
 
 import behave
 
-_LONGEST_S = 20.0
+_TIMEOUT_S = 20.0
 
 
-@behave.when('a user types "honeyport {words}"')
-def step_type(context, words):
-    context.ended = subprocess.run(
-        [sys.executable, '-m', 'honeyport', *_words(words)],
+@behave.when('"honeyport {words}" is run')
+def step_run(context, words):
+    context.completed = subprocess.run(
+        [sys.executable, '-m', 'honeyport', *_arguments(words)],
         capture_output=True,
         text=True,
-        timeout=_LONGEST_S,
+        timeout=_TIMEOUT_S,
     )
 
 
-@behave.then('the command ends with code {code:d}')
-def step_code(context, code):
-    assert context.ended.returncode == code, context.ended
+@behave.then('the command exits with code {code:d}')
+def step_exit_code(context, code):
+    assert context.completed.returncode == code, context.completed
 
 
-@behave.then('the help names {verbs}')
-def step_names(context, verbs):
-    shown = context.ended.stdout + context.ended.stderr
-    missing = [verb for verb in verbs.split(', ') if verb not in shown]
-    assert not missing, (missing, shown)
+@behave.then('the help lists {verbs}')
+def step_help_lists(context, verbs):
+    output = context.completed.stdout + context.completed.stderr
+    missing = [verb for verb in verbs.split(', ') if verb not in output]
+    assert not missing, (missing, output)
 
 
-@behave.then('the command says "{code}" and "{text}"')
-def step_says(context, code, text):
-    assert code in context.ended.stderr, context.ended
-    assert text in context.ended.stderr, context.ended
+@behave.then('the command prints "{code}" and "{text}"')
+def step_prints(context, code, text):
+    assert code in context.completed.stderr, context.completed
+    assert text in context.completed.stderr, context.completed
 
 
-@behave.then('the command shows no traceback')
+@behave.then('the command prints no traceback')
 def step_no_traceback(context):
-    assert 'Traceback' not in context.ended.stderr, context.ended
+    assert 'Traceback' not in context.completed.stderr, context.completed
 
 
-def _words(text):
-    """Return the words of a command line."""
+def _arguments(text):
+    """Return the arguments of a command line; ``alone`` stands for none."""
     return [] if text == 'alone' else text.split()
--- a/src/honeyport/cli.py
+++ b/src/honeyport/cli.py
@@ -1,4 +1,9 @@
-"""The ``honeyport`` command. Every verb says what it does with --help."""
+"""The ``honeyport`` command line.
+
+Fire takes the commands and their arguments from the names of methods and
+parameters, and the output of ``--help`` from their docstrings. Modules are
+imported by the commands that need them, to keep the start fast.
+"""
 
 import sys
 import typing
@@ -9,18 +14,18 @@
 from honeyport import errors
 from honeyport import signals
 
-_USAGE_EXIT = 2
-_HELP = ('--help', '-h', 'help')
+_USAGE_EXIT_CODE = 2
+_HELP_FLAGS = ('--help', '-h', 'help')
 
 
 class Key:
-    """Keys that sign bundles."""
+    """Manage the keys that sign bundles."""
 
     def new(self, folder: str, name: str) -> str:
-        """Make a key: FOLDER/NAME.pem; print its public part.
+        """Create a key as FOLDER/NAME.pem and print its public key.
 
-        :param folder: where the private key is written
-        :param name: the key's name in the bundle's signers
+        :param folder: folder for the private key
+        :param name: name of the key in the bundle's signers
         """
         from honeyport.bundle import signing
 
@@ -28,10 +33,10 @@
 
 
 class Bundle:
-    """The signed configuration of a fleet."""
+    """Check, sign and submit bundles, the configurations of a fleet."""
 
     def check(self, path: str) -> str:
-        """Check a bundle in YAML: every field and every reference."""
+        """Validate a bundle in YAML: every field and every reference."""
         from honeyport.bundle import files
 
         bundle = files.load(path)
@@ -42,143 +47,149 @@
         )
 
     def sign(self, path: str, key: str, out: str) -> str:
-        """Sign a bundle, or add a signature to a signed one.
+        """Sign a bundle, or add a signature to a signed bundle.
 
         :param path: a bundle in YAML, or a file that sign wrote
-        :param key: the private key's file, NAME.pem
-        :param out: where the signed bundle goes
+        :param key: file of the private key, NAME.pem
+        :param out: file for the signed bundle
         """
         from honeyport import operators
 
         return operators.sign(path, key, out)
 
     def diff(self, path: str, control: str) -> str:
-        """Show what a bundle in YAML would change in the accepted one.
+        """Show the difference between a bundle in YAML and the accepted one.
 
-        :param control: addresses of control replicas, with commas
+        :param control: addresses of control replicas, comma-separated
         """
         from honeyport import operators
 
-        return operators.diff(path, _split(control))
+        return operators.diff(path, _parse_addresses(control))
 
     def submit(self, path: str, control: str, wait: bool = False) -> str:
-        """Submit a signed bundle; the same again gets the same receipt.
+        """Submit a signed bundle; submitting it again is safe.
 
-        :param control: addresses of control replicas, with commas
-        :param wait: return only when it is in force everywhere
+        :param control: addresses of control replicas, comma-separated
+        :param wait: wait until every router applies it
         """
         from honeyport import operators
 
-        return operators.submit(path, _split(control), wait)
+        return operators.submit(path, _parse_addresses(control), wait)
 
     def status(self, control: str, wait: bool = False) -> str:
-        """Show the accepted version and which routers apply it.
+        """Show the accepted version and the routers that do not apply it yet.
 
-        :param control: addresses of control replicas, with commas
-        :param wait: return only when it is in force everywhere
+        :param control: addresses of control replicas, comma-separated
+        :param wait: wait until every router applies it
         """
         from honeyport import operators
 
-        return operators.bundle_status(_split(control), wait)
+        return operators.bundle_status(_parse_addresses(control), wait)
 
     def history(self, control: str) -> str:
         """Show the accepted versions and their digests."""
         from honeyport import operators
 
-        return operators.history(_split(control))
+        return operators.history(_parse_addresses(control))
 
 
 class Fleet:
-    """The fleet as control sees it."""
+    """Show and manage the fleet through its control replicas."""
 
     def status(self, control: str) -> str:
-        """Show routers, leases, views and control replicas."""
+        """Show the leader, the control replicas and the routers."""
         from honeyport import operators
 
-        return operators.fleet_status(_split(control))
+        return operators.fleet_status(_parse_addresses(control))
 
     def add(self, control: str, name: str, address: str) -> str:
-        """Add a control replica as a learner; it votes once caught up."""
+        """Add a control replica as a learner; it votes once it caught up."""
         from honeyport import operators
 
-        return operators.change_membership(_split(control), name, address)
+        return operators.change_membership(
+            _parse_addresses(control), name, address
+        )
 
     def remove(self, control: str, name: str) -> str:
         """Remove a control replica."""
         from honeyport import operators
 
-        return operators.change_membership(_split(control), name, '')
+        return operators.change_membership(_parse_addresses(control), name, '')
 
     def evacuate(self, control: str, domain: str) -> str:
-        """Send nothing new to the backend servers of a failure domain.
+        """Send no new requests to the backend servers of a failure domain.
 
-        :param control: addresses of control replicas, with commas
-        :param domain: the failure domain; the same again changes nothing
+        :param control: addresses of control replicas, comma-separated
+        :param domain: the failure domain; repeating the command is safe
         """
         from honeyport import operators
 
-        return operators.evacuate(_split(control), str(domain), ends=False)
+        return operators.evacuate(
+            _parse_addresses(control), str(domain), ends=False
+        )
 
     def restore(self, control: str, domain: str) -> str:
-        """Take a failure domain back that was evacuated.
+        """End the evacuation of a failure domain.
 
-        :param control: addresses of control replicas, with commas
-        :param domain: the failure domain; the same again changes nothing
+        :param control: addresses of control replicas, comma-separated
+        :param domain: the failure domain; repeating the command is safe
         """
         from honeyport import operators
 
-        return operators.evacuate(_split(control), str(domain), ends=True)
+        return operators.evacuate(
+            _parse_addresses(control), str(domain), ends=True
+        )
 
     def suspects(self, control: str) -> str:
-        """Show the requests that are held back: instances ended under them.
+        """Show requests that are restricted because instances crashed.
 
-        :param control: addresses of control replicas, with commas
+        :param control: addresses of control replicas, comma-separated
         """
         from honeyport import operators
 
-        return operators.suspects(_split(control))
+        return operators.suspects(_parse_addresses(control))
 
     def clear(self, control: str, fingerprint: str) -> str:
-        """Let a request run again that was held back.
+        """Lift the restrictions on a request that is suspected of crashes.
 
-        :param control: addresses of control replicas, with commas
-        :param fingerprint: as ``fleet suspects`` shows it
+        :param control: addresses of control replicas, comma-separated
+        :param fingerprint: as ``fleet suspects`` prints it
         """
         from honeyport import operators
 
-        return operators.clear(_split(control), str(fingerprint))
+        return operators.clear(_parse_addresses(control), str(fingerprint))
 
 
 class Standin:
-    """Stand-ins for the systems that honeyport meets."""
+    """Run stand-ins for the systems that honeyport connects to."""
 
     def engine(self, settings: str) -> None:
         """Run a stand-in engine."""
         from honeyport.standin import engine_api
 
-        _run(settings, 'Engine', engine_api.start)
+        _run_role(settings, 'Engine', engine_api.start)
 
     def service(self, settings: str) -> None:
         """Run a stand-in plain service."""
         from honeyport.standin import service
 
-        _run(settings, 'Service', service.start)
+        _run_role(settings, 'Service', service.start)
 
     def weights(self, settings: str) -> None:
         """Run a stand-in weight store."""
         from honeyport.standin import weights
 
-        _run(settings, 'WeightStore', weights.start)
+        _run_role(settings, 'WeightStore', weights.start)
 
     def instances(self, settings: str) -> None:
         """Run a stand-in instance list."""
         from honeyport.standin import instances
 
-        _run(settings, 'InstanceList', instances.start)
+        _run_role(settings, 'InstanceList', instances.start)
 
 
 class Commands:
-    """honeyport: a router fleet for returning chats."""
+    """honeyport: a fleet of routers that keep chats near their caches."""
 
     def __init__(self) -> None:
         self.key = Key()
@@ -187,50 +198,56 @@
         self.standin = Standin()
 
     def router(self, settings: str) -> None:
-        """Run a router with a settings file."""
+        """Run a router.
+
+        :param settings: the settings file, in YAML
+        """
         signals.ignore_reload()
         from honeyport.router import daemon
 
-        _run(settings, 'Router', daemon.start)
+        _run_role(settings, 'Router', daemon.start)
 
     def control(self, settings: str) -> None:
-        """Run a control replica with a settings file."""
+        """Run a control replica.
+
+        :param settings: the settings file, in YAML
+        """
         signals.ignore_reload()
         from honeyport.control import daemon
 
-        _run(settings, 'Control', daemon.start)
+        _run_role(settings, 'Control', daemon.start)
 
     def explain(self, request: str, *logs: str, ahead: str = '') -> str:
-        """Show the way of one request through the logs of instances.
+        """Show the log lines of one request from several instances, in order.
 
-        :param request: its id
-        :param logs: log files; standard input if there are none
-        :param ahead: clocks that are ahead: INSTANCE=SECONDS, with commas
+        :param request: the request's id
+        :param logs: log files; by default standard input
+        :param ahead: clocks that are ahead: INSTANCE=SECONDS, comma-separated
         """
         from honeyport.telemetry import explain
 
         return explain.run(str(request), logs, ahead)
 
     def losses(self, *logs: str, slow_ms: float = 300.0) -> str:
-        """Sum up where requests and time were lost, from logs alone.
+        """Summarize failed and slow requests from log files.
 
-        :param logs: log files; standard input if there are none
-        :param slow_ms: after how many milliseconds a first byte is slow
+        :param logs: log files; by default standard input
+        :param slow_ms: time to the first byte above which a request is slow
         """
         from honeyport.telemetry import losses
 
         return losses.run(logs, slow_ms)
 
     def reference(self, folder: str) -> str:
-        """Write the reference pages from the code into a folder."""
+        """Generate the reference pages into a folder."""
         from honeyport import reference
 
         return '\n'.join(reference.write(folder))
 
     def local(self, keep: bool = False) -> None:
-        """Run a whole small site in this process, and try it out.
+        """Run a small site in this process and send example requests.
 
-        :param keep: go on serving until interrupted
+        :param keep: keep serving until interrupted
         """
         from honeyport import local
 
@@ -238,19 +255,22 @@
 
 
 def main() -> None:
-    """Run the command line; user errors end with code 2, no traceback."""
-    fire_core.Display = _display
+    """Run the command line.
+
+    A ``HoneyportError`` is printed and exits with code 2.
+    """
+    fire_core.Display = _print_help
     try:
-        fire.Fire(Commands, command=_words(), name='honeyport')
+        fire.Fire(Commands, command=_arguments(), name='honeyport')
     except errors.HoneyportError as error:
         print(f'honeyport: {error.code}: {error.detail}', file=sys.stderr)
         print(f'honeyport: {error.hint}', file=sys.stderr)
-        sys.exit(_USAGE_EXIT)
+        sys.exit(_USAGE_EXIT_CODE)
     except KeyboardInterrupt:
         sys.exit(130)
 
 
-def _run(path: str, role: str, start: typing.Any) -> None:
+def _run_role(path: str, role: str, start: typing.Any) -> None:
     from honeyport import process
     from honeyport.settings import document
     from honeyport.settings import roles
@@ -258,34 +278,37 @@
     process.run(document.load(path, getattr(roles, role)), start)
 
 
-def _words() -> list[str]:
-    """Return the words of the command line.
+def _arguments() -> list[str]:
+    """Return the arguments of the command line.
 
-    Asked for help on its own, fire shows no verb; without any word it does.
+    A leading help flag is dropped: fire lists the commands only if there are
+    no arguments.
     """
-    words = sys.argv[1:]
-    return [] if words and words[0] in _HELP else words
+    arguments = sys.argv[1:]
+    return [] if arguments and arguments[0] in _HELP_FLAGS else arguments
 
 
-def _split(addresses: typing.Any) -> list[str]:
-    """Return addresses; fire hands several over as a tuple.
+def _parse_addresses(addresses: typing.Any) -> list[str]:
+    """Return the addresses of a command line argument.
 
-    :raises errors.UsageInvalid: if one of them is no address
+    :param addresses: text, or a tuple if fire has split it at the commas
+    :raises errors.UsageInvalid: if one of them is not an address
     """
     from honeyport.settings import fields
 
     if isinstance(addresses, str):
         addresses = addresses.split(',')
-    found = [str(address) for address in addresses]
-    for address in found:
+    parsed = [str(address) for address in addresses]
+    for address in parsed:
         expected = fields.address(address)
         if expected:
             raise errors.UsageInvalid(
-                f'{address!r} is no address: {expected}, several with commas'
+                f'{address!r} is not an address: expected {expected}, '
+                'comma-separated'
             )
-    return found
+    return parsed
 
 
-def _display(lines: list[str], out: typing.TextIO) -> None:
-    """Print help without a pager."""
+def _print_help(lines: list[str], out: typing.TextIO) -> None:
+    """Print help directly; fire would start a pager."""
     out.write('\n'.join(lines) + '\n')
--- a/src/honeyport/exchange.py
+++ b/src/honeyport/exchange.py
@@ -1,9 +1,9 @@
-"""A request on its way and the frames of its answer.
+"""A request inside the router and the frames of its answer.
 
-Wherever an answer is produced (an engine's client, a hop to another
-router) it is an asynchronous iterator of frames: one ``Head``, any number
-of ``Data`` in order, one ``End``. What goes wrong is raised. An answer
-without its ``End`` is not whole.
+Every producer of an answer (a backend server's client, the stream to
+another router) returns an asynchronous iterator of frames: one ``Head``,
+any number of ``Data`` in order, one ``End``. Errors are raised. An answer
+without its ``End`` is incomplete.
 """
 
 import asyncio
@@ -20,15 +20,17 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """One request.
+    """A request that the router handles.
 
-    :param deadline: loop time at which its caller gives up
+    :param deadline: loop time at which the caller's timeout expires
+    :param attempt: number of this attempt, from 1
     :param key: the idempotency key of a non-repeatable request, or ``''``
     :param resume_after: number of the last event that the caller has;
         0 if it has none, ``NOT_RESUMED`` if this is not a resumption
-    :param parent: the ``traceparent`` of the span around it
-    :param patience_s: how long to queue for room, at most
-    :param linger: whether to go on for a while without a caller
+    :param traceparent: the W3C ``traceparent`` of the enclosing span
+    :param queue_timeout_s: maximum time to queue for a backend server
+    :param linger: whether the request keeps running for
+        ``timing.linger_ms`` after the caller disconnected
     """
 
     request_id: str
@@ -50,46 +52,52 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Whether it is safe to run the request more than once."""
         return not self.key
 
     @property
     def is_resumption(self) -> bool:
-        """Whether this asks for the rest of a stream."""
+        """Whether the request resumes an interrupted stream."""
         return self.resume_after != NOT_RESUMED
 
     def remaining_s(self) -> float:
-        """Return the seconds until the deadline."""
+        """Return the time until the deadline, in seconds."""
         return self.deadline - asyncio.get_running_loop().time()
 
 
 @attrs.frozen
 class Head:
-    """The beginning of an answer."""
+    """The status and headers of an answer.
+
+    :param backend: name of the backend server that answered
+    :param recorded: whether it is the stored outcome of an earlier run
+    """
 
     status: int
     headers: Headers
     backend: str
-    recorded: bool = False  # the outcome of an earlier run
+    recorded: bool = False
 
     @property
     def retry_after_s(self) -> float | None:
-        """When a backend server that turned this away may be asked again."""
-        named = (
+        """Seconds until the next request, if the server asked for a pause."""
+        retry_after_values = (
             value
             for name, value in self.headers
             if name.lower() == 'retry-after'
         )
-        return retry_after.requested_s(self.status, next(named, ''))
+        return retry_after.requested_s(
+            self.status, next(retry_after_values, '')
+        )
 
     @property
     def is_success(self) -> bool:
-        """Whether the backend server did what was asked."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
     @property
     def is_event_stream(self) -> bool:
-        """Whether the body is a stream of events."""
+        """Whether the body is a stream of server-sent events."""
         return any(
             name.lower() == 'content-type' and value.startswith('text/event')
             for name, value in self.headers
@@ -98,7 +106,10 @@
 
 @attrs.frozen
 class Data:
-    """A part of the answer's body; numbered 1, 2, 3, ..."""
+    """A part of the answer's body.
+
+    :param number: consecutive, from 1
+    """
 
     number: int
     payload: bytes
@@ -106,10 +117,10 @@
 
 @attrs.frozen
 class End:
-    """The end of a whole answer.
+    """The end of a complete answer.
 
-    :param frames: how many ``Data`` frames there were
-    :param length: the bytes of all their payloads
+    :param frames: number of its ``Data`` frames
+    :param length: total size of their payloads, in bytes
     """
 
     frames: int
--- a/src/honeyport/process.py
+++ b/src/honeyport/process.py
@@ -1,4 +1,4 @@
-"""The life of a process: start, wait for a signal, stop in order."""
+"""Lifecycle of a process: start, wait for a signal, shut down."""
 
 import asyncio
 import gc
@@ -22,41 +22,41 @@
 
 
 def run(settings: S, start: Start[S], reload: Reload | None = None) -> None:
-    """Run a role until SIGTERM or SIGINT.
+    """Run a process until SIGTERM or SIGINT.
 
-    :param reload: called on SIGHUP; without it the signal changes nothing
+    :param start: starts all components under a supervisor
+    :param reload: called on SIGHUP; by default the signal is only logged
     """
-    _spare_imports()
+    _freeze_imported_objects()
     logs.configure(settings.log_level, instance=settings.name)
     with asyncio.Runner(loop_factory=clock.new_loop) as runner:
-        runner.run(_run(settings, start, reload or _keep_settings))
+        runner.run(_run(settings, start, reload or _log_no_changes))
 
 
-def _spare_imports() -> None:
-    """Leave what the imports made out of all collections of garbage.
+def _freeze_imported_objects() -> None:
+    """Exclude the objects that imports created from garbage collection.
 
-    Some 40,000 objects that stay for good: looking through them stops the
-    process for 20 ms each time (one collection, medians of three starts).
+    They are never freed, and scanning them would pause the process.
     """
     gc.freeze()
     gc.enable()
 
 
-def _keep_settings() -> None:
+def _log_no_changes() -> None:
     logs.emit(events.RELOADED, changed=[])
 
 
 async def _run(settings: S, start: Start[S], reload: Reload) -> None:
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, reload)
     tree = supervisor.Supervisor(settings.name)
     try:
         await start(settings, tree)
         logs.emit(events.STARTED)
-        await asked.wait()
+        await stop_requested.wait()
         logs.emit(events.STOPPING)
     finally:
         await tree.stop()
