--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -44,7 +44,9 @@
     open_early(context, f'zone=thu-duc\nlisten.frontend={address}\n')
 
     async def send():
-        reader, writer = await asyncio.open_connection(*roles.split(address))
+        reader, writer = await asyncio.open_connection(
+            *roles.split_address(address)
+        )
         writer.write(caller.request())
         return reader, writer
 
--- a/features/steps/end_steps.py
+++ b/features/steps/end_steps.py
@@ -150,7 +150,7 @@
 
 async def _ask(fixture, path):
     reader, writer = await asyncio.open_connection(
-        *roles.split(fixture.address)
+        *roles.split_address(fixture.address)
     )
     try:
         writer.write(caller.request(path=path))
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -378,7 +378,7 @@
     deadline_ms: int = 5000,
 ) -> caller.Response:
     reader, writer = await asyncio.open_connection(
-        *roles.split(fixture.address)
+        *roles.split_address(fixture.address)
     )
     try:
         writer.write(caller.request(key, path, host, deadline_ms=deadline_ms))
@@ -391,7 +391,7 @@
     fixture: GatewayFixture, count: int
 ) -> list[caller.Response]:
     reader, writer = await asyncio.open_connection(
-        *roles.split(fixture.address)
+        *roles.split_address(fixture.address)
     )
     responses = []
     for number in range(count):
@@ -404,7 +404,9 @@
 
 
 async def _disconnect_early(fixture: GatewayFixture) -> None:
-    _, writer = await asyncio.open_connection(*roles.split(fixture.address))
+    _, writer = await asyncio.open_connection(
+        *roles.split_address(fixture.address)
+    )
     writer.write(caller.request(caller.KEY, '/r/x', caller.HOST))
     async with asyncio.timeout(_EVENT_TIMEOUT_S):
         while not fixture.script.arrivals:
--- a/features/steps/smuggling_steps.py
+++ b/features/steps/smuggling_steps.py
@@ -48,7 +48,7 @@
     :param is_last: whether the caller half-closes the connection after it
     """
     reader, writer = await asyncio.open_connection(
-        *roles.split(context.fixture.address)
+        *roles.split_address(context.fixture.address)
     )
     writer.write(head() + rest)
     try:
--- a/features/steps/steward_steps.py
+++ b/features/steps/steward_steps.py
@@ -92,7 +92,7 @@
         writer.close()
 
     async def start():
-        host, port = roles.split(_ENGINE)
+        host, port = roles.split_address(_ENGINE)
         return await asyncio.start_server(serve, host, port)
 
     server = context.run(start())
--- a/features/support/crashing.py
+++ b/features/support/crashing.py
@@ -107,7 +107,7 @@
         }
 
     async def start(self) -> None:
-        host, port = roles.split(self._address)
+        host, port = roles.split_address(self._address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
     async def stop(self) -> None:
--- a/features/support/instances.py
+++ b/features/support/instances.py
@@ -73,7 +73,7 @@
 
     async def start(self) -> None:
         """Listen for connections."""
-        host, port = roles.split(self.address)
+        host, port = roles.split_address(self.address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
     async def stop(self) -> None:
--- a/features/support/relay.py
+++ b/features/support/relay.py
@@ -28,7 +28,7 @@
 
     async def start(self) -> None:
         """Listen."""
-        host, port = roles.split(self.address)
+        host, port = roles.split_address(self.address)
         self._server = await asyncio.start_server(self._accept, host, port)
 
     def cut(self, *, to_target: bool = True, from_target: bool = True) -> None:
@@ -66,7 +66,9 @@
         self._tasks.add(task)
         try:
             await self._there.wait()
-            far = await asyncio.open_connection(*roles.split(self._target))
+            far = await asyncio.open_connection(
+                *roles.split_address(self._target)
+            )
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._pass(reader, far[1], self._there))
                 group.create_task(self._pass(far[0], writer, self._back))
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -74,7 +74,7 @@
 
     async def start(self) -> None:
         """Take connections."""
-        host, port = roles.split(self._own_address)
+        host, port = roles.split_address(self._own_address)
         self._server = await asyncio.start_server(self._serve, host, port)
         await self.relay.start()
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -67,7 +67,7 @@
         try:
             async with asyncio.timeout(1.0):
                 self._streams = await asyncio.open_connection(
-                    *roles.split(self._address)
+                    *roles.split_address(self._address)
                 )
         except (OSError, TimeoutError):
             return False
--- a/src/honeyport/backend/http.py
+++ b/src/honeyport/backend/http.py
@@ -133,7 +133,7 @@
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._host, self._port = roles.split(address)
+        self._host, self._port = roles.split_address(address)
         self._idle: list[iostream.IOStream] = []
         ip = ipaddress.ip_address(self._host)
         self._family = socket.AF_INET6 if ip.version == 6 else socket.AF_INET
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -146,7 +146,7 @@
         :param listener: socket that listens already; ``None`` to open one
         """
         if listener is None:
-            host, port = roles.split(self._settings.listen)
+            host, port = roles.split_address(self._settings.listen)
             self._caller_server.listen(host, port)
         else:
             self._caller_server.add_listener(listener)
--- a/src/honeyport/platform/pages.py
+++ b/src/honeyport/platform/pages.py
@@ -182,7 +182,7 @@
     }
     servers = []
     for address in sorted(addresses):
-        host, port = roles.split(address)
+        host, port = roles.split_address(address)
         server = httpserver.HTTPServer(
             lambda request: _start_handling(components, request),
             max_body_size=_MAX_BODY_BYTES,
--- a/src/honeyport/router/daemon.py
+++ b/src/honeyport/router/daemon.py
@@ -123,7 +123,7 @@
             ],
             log_function=lambda _: None,
         )
-        host, port = roles.split(self._settings.listen)
+        host, port = roles.split_address(self._settings.listen)
         return application.listen(port, host, max_body_size=_MAX_REQUEST_BYTES)
 
     async def _drain(self) -> None:
--- a/src/honeyport/settings/roles.py
+++ b/src/honeyport/settings/roles.py
@@ -179,7 +179,7 @@
     )
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """Return the host and the port of ``IP:PORT``."""
     host, _, port = address.rpartition(':')
     return host, int(port)
--- a/src/honeyport/standin/engine_api.py
+++ b/src/honeyport/standin/engine_api.py
@@ -164,7 +164,7 @@
 ) -> engines.Engine:
     """Serve a stand-in engine."""
     engine = engines.Engine(settings)
-    host, port = roles.split(settings.listen)
+    host, port = roles.split_address(settings.listen)
     server = application(engine).listen(port, host)
     tree.on_stop('http', supervisor.close_hook(server))
     return engine
--- a/src/honeyport/standin/weights.py
+++ b/src/honeyport/standin/weights.py
@@ -52,6 +52,6 @@
         [('/weights/([^/]+)/([^/]+)', WeightHandler, arguments)],
         log_function=lambda _: None,
     )
-    host, port = roles.split(settings.listen)
+    host, port = roles.split_address(settings.listen)
     server = application.listen(port, host)
     tree.on_stop('http', supervisor.close_hook(server))
--- a/src/honeyport/telemetry/status.py
+++ b/src/honeyport/telemetry/status.py
@@ -49,7 +49,7 @@
     address: str, counters: metrics.Metrics, ready: Ready
 ) -> httpserver.HTTPServer:
     """Serve only these two pages."""
-    host, port = roles.split(address)
+    host, port = roles.split_address(address)
     application = web.Application(
         routes(counters, ready), log_function=lambda _: None
     )
