--- a/bench/control.py
+++ b/bench/control.py
@@ -103,7 +103,7 @@
         await _change(world, others)
         took.append(time.monotonic() - started)
         world.start(name, 'control')
-        await world.until(
+        await world.wait_until(
             lambda name=name: control_steps.caught_up(world, name), 'it is up'
         )
     return {
@@ -132,7 +132,7 @@
                 await channel.close()
         return False
 
-    await world.until(attempt, 'the change is accepted')
+    await world.wait_until(attempt, 'the change is accepted')
     world.version += 1
 
 
@@ -389,7 +389,9 @@
 
 
 async def _control_bytes(world: worlds.World) -> float:
-    reply = await calls.send(world.address('router-1'), calls.get('/metrics'))
+    reply = await calls.send(
+        world.address('router-1'), calls.get_request('/metrics')
+    )
     lines = reply.body.decode().splitlines()
     return sum(
         float(line.split()[-1])
--- a/bench/hops.py
+++ b/bench/hops.py
@@ -104,8 +104,10 @@
 async def _first_token(world: worlds.World, address: str) -> float:
     """Return the median milliseconds to the first byte of an answer."""
     replies = await _load(address, _SHORT, 200)
-    return statistics.median(reply.first_s for reply in replies) * 1000
+    return statistics.median(reply.first_byte_s for reply in replies) * 1000
 
 
 def _turn(chat: str, tokens: int) -> calls.http.Request:
-    return calls.chat(chat, tokens=tokens, Honeyport_Placement='draft-llm-1')
+    return calls.chat_request(
+        chat, tokens=tokens, Honeyport_Placement='draft-llm-1'
+    )
--- a/bench/reuse.py
+++ b/bench/reuse.py
@@ -87,7 +87,7 @@
         engine = f'draft-llm-{number}'
         await world.kill(engine)
         world.start(engine, 'standin', 'engine')
-    await world.until(
+    await world.wait_until(
         lambda: fleet_steps.settled(world), 'all engines are up again', 60
     )
     counts: collections.Counter[str] = collections.Counter()
@@ -166,7 +166,7 @@
     lines = [
         line
         for event in ('start', 'end', 'cancel')
-        for line in world.ran(event)
+        for line in world.executions_logged(event)
         if line['time'] >= started
     ]
     lines.sort(key=lambda line: line['time'])
@@ -302,14 +302,14 @@
             if slivers:
                 slivers[number % _ROUTERS][name] += 1
             try:
-                request = calls.chat(
+                request = calls.chat_request(
                     chat, tokens=_TOKENS, X_Request_Id=f'{chat}-{time.time()}'
                 )
                 reply = await calls.send(world.address(name), request)
             finally:
                 if slivers:
                     slivers[number % _ROUTERS][name] -= 1
-            if reply.status == 200 and not reply.cut:
+            if reply.status == 200 and not reply.is_interrupted:
                 return
             down[name] = time.monotonic() + 1.0
         raise errors.BackendLost(name)
--- a/bench/subscribers.py
+++ b/bench/subscribers.py
@@ -60,7 +60,7 @@
         """Attach all; return once each has the accepted version."""
         for one in self.sessions:
             self._tasks.append(asyncio.create_task(one.run()))
-        await world.until(
+        await world.wait_until(
             lambda: all(state.version for state in self.states),
             'all subscribers have a version',
             120,
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -105,7 +105,7 @@
     tally: Tally,
     counts: bool,
 ) -> None:
-    request = calls.chat(
+    request = calls.chat_request(
         chat,
         account=account,
         tokens=_TOKENS,
@@ -115,8 +115,8 @@
     if not counts:
         return
     tally.sent += 1
-    if reply.status == 200 and reply.whole:
-        tally.first_s.append(reply.first_s)
+    if reply.status == 200 and reply.is_complete:
+        tally.first_s.append(reply.first_byte_s)
     elif reply.status == 429:
         tally.refused += 1
     else:
--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -39,7 +39,7 @@
 
 def play(context, lifetime):
     """Simulate the load with list lifetimes from a function of the time."""
-    return callers.play(
+    return callers.simulate(
         context.gateways, context.count, context.per_s, lifetime, _LENGTH_S
     )
 
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -59,7 +59,7 @@
 
 @behave.then('no answer ran twice')
 def step_not_twice(context):
-    ids = [line['request_id'] for line in context.world.ran()]
+    ids = [line['request_id'] for line in context.world.executions_logged()]
     assert len(ids) == len(set(ids)), ids
 
 
@@ -95,7 +95,7 @@
         asyncio.ensure_future(
             calls.send(
                 world.address(entry),
-                calls.chat(
+                calls.chat_request(
                     f'far-{number}',
                     tokens=_TOKENS,
                     Honeyport_Placement=engine,
@@ -105,19 +105,21 @@
         for number in range(4)
     ]
     world.tasks += context.running
-    await world.until(lambda: len(world.ran()) >= 4, 'the answers run')
+    await world.wait_until(
+        lambda: len(world.executions_logged()) >= 4, 'the answers run'
+    )
     await asyncio.sleep(0.2)
 
 
 @behave.then('every running answer is whole or visibly cut')
 def step_whole_or_cut(context):
-    waiting = asyncio.wait_for(calls.together(*context.running), 20)
+    waiting = asyncio.wait_for(calls.gather(*context.running), 20)
     context.replies = context.run(waiting)
     for reply in context.replies:
-        if reply.whole:
+        if reply.is_complete:
             serving_steps.check_written(context, reply)
         else:
-            assert reply.cut or reply.error, reply
+            assert reply.is_interrupted or reply.error, reply
 
 
 @behave.when('{count:d} long answers are running and "{name}" is killed')
@@ -129,7 +131,7 @@
 
 @behave.then('those that are cut say so with a typed error')
 def step_cut_typed(context):
-    cut = [reply for reply in context.replies if not reply.whole]
+    cut = [reply for reply in context.replies if not reply.is_complete]
     assert cut, 'no answer was cut'
     for reply in cut:
         last = reply.body.rstrip().rpartition(b'\n\n')[2]
@@ -149,7 +151,7 @@
     world = context.world
     offset = resume.StreamOffset()
     headers = {'X_Request_Id': 'resumed-1', 'Honeyport_Linger': '1'}
-    request = calls.chat('yard-5', tokens=_TOKENS, **headers)
+    request = calls.chat_request('yard-5', tokens=_TOKENS, **headers)
     got = b''
     pool = http.Pool(world.address(first))
     parts = pool.fetch(request)
@@ -161,7 +163,7 @@
                 break
     offset.begin_resume()
     headers['Last_Event_ID'] = str(offset.last_event)
-    request = calls.chat('yard-5', tokens=_TOKENS, **headers)
+    request = calls.chat_request('yard-5', tokens=_TOKENS, **headers)
     reply = await calls.send(world.address(second), request)
     assert reply.status == 200, reply
     before, _, _ = reply.body.rpartition(b': whole bytes=')
@@ -170,7 +172,9 @@
 
 @behave.then('both parts together are what the engine wrote')
 def step_both(context):
-    written = [line['digest'] for line in context.world.ran('end')]
+    written = [
+        line['digest'] for line in context.world.executions_logged('end')
+    ]
     assert hashlib.sha256(context.got).hexdigest() in written
 
 
@@ -181,7 +185,7 @@
 
 async def go_away(context, router):
     pool = http.Pool(context.world.address(router))
-    parts = pool.fetch(calls.chat('yard-6', tokens=_TOKENS))
+    parts = pool.fetch(calls.chat_request('yard-6', tokens=_TOKENS))
     async with contextlib.aclosing(parts):
         async for part in parts:
             if isinstance(part, bytes):
@@ -192,7 +196,9 @@
 def step_cancelled(context):
     world = context.world
     context.run(
-        world.until(lambda: world.ran('cancel'), 'the engine stops', 5)
+        world.wait_until(
+            lambda: world.executions_logged('cancel'), 'the engine stops', 5
+        )
     )
 
 
@@ -209,9 +215,11 @@
         for router in world.routers:
             request_id = f'{router}-{number}'
             context.sent.append(request_id)
-            request = calls.chat(f'x-{number}', X_Request_Id=request_id)
+            request = calls.chat_request(
+                f'x-{number}', X_Request_Id=request_id
+            )
             sends.append(calls.send(world.address(router), request))
-    context.replies = await calls.together(*sends)
+    context.replies = await calls.gather(*sends)
 
 
 @behave.then('every caller got the answer to its own request')
@@ -274,7 +282,7 @@
 @behave.then('the library got every chat whole')
 def step_library_whole(context):
     digests = collections.Counter(
-        line['digest'] for line in context.world.ran('end')
+        line['digest'] for line in context.world.executions_logged('end')
     )
     for body in context.chats:
         before, found, _ = body.rpartition(b': whole bytes=')
--- a/features/steps/control_failure_steps.py
+++ b/features/steps/control_failure_steps.py
@@ -80,7 +80,7 @@
 def step_change_other_side(context):
     world = context.world
     context.run(control.leader(world, but=(context.leader,)))
-    context.run(control.change(world))
+    context.run(control.submit_change(world))
 
 
 @behave.when('the leader is no longer cut off')
@@ -101,7 +101,7 @@
             replica.matched >= leading.commit for replica in leading.replicas
         )
 
-    context.run(world.until(check, 'all replicas have caught up'))
+    context.run(world.wait_until(check, 'all replicas have caught up'))
     answer = context.run(
         control.status(world.control[context.run(control.leader(world))])
     )
@@ -129,8 +129,9 @@
     """Wait until the follower that lost its disk votes again."""
     world = context.world
     context.run(
-        world.until(
-            lambda: control.caught_up(world, context.lost), 'it votes again'
+        world.wait_until(
+            lambda: control.has_caught_up(world, context.lost),
+            'it votes again',
         )
     )
 
@@ -151,7 +152,7 @@
         numbers = [line['number'] for line in world.log(context.lost)]
         return numbers.count(2005) == 1
 
-    context.run(world.until(check, 'it notes that it is not admitted'))
+    context.run(world.wait_until(check, 'it notes that it is not admitted'))
 
 
 @behave.then('it votes again once it has caught up')
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -23,10 +23,10 @@
 async def kill_each(world):
     for name in list(world.control):
         await world.kill(name)
-        await control.change(world)
+        await control.submit_change(world)
         world.start(name, 'control')
-        await world.until(
-            lambda name=name: control.caught_up(world, name),
+        await world.wait_until(
+            lambda name=name: control.has_caught_up(world, name),
             f'{name} caught up',
         )
 
@@ -36,10 +36,10 @@
     world = context.world
 
     async def check():
-        found = await control.versions(world)
+        found = await control.versions_in_force(world)
         return found and set(found.values()) == {version}
 
-    context.run(world.until(check, f'version {version} is in force'))
+    context.run(world.wait_until(check, f'version {version} is in force'))
 
 
 @behave.then('no router ever went back to a lower version')
@@ -83,7 +83,7 @@
 
 @behave.when('a change is made')
 def step_change(context):
-    context.run(control.change(context.world))
+    context.run(control.submit_change(context.world))
 
 
 @behave.when('the frozen leader wakes')
@@ -99,7 +99,7 @@
         answer = await control.status(world.control[context.leader])
         return answer is not None and answer.failure.code == 'HP-2003'
 
-    context.run(world.until(check, 'it knows that it leads no more'))
+    context.run(world.wait_until(check, 'it knows that it leads no more'))
 
 
 @behave.when('two operators submit different bundles as version 2 at once')
@@ -145,7 +145,7 @@
 def step_restart_router(context, router):
     world = context.world
     context.run(world.kill(router))
-    context.run(control.change(world))
+    context.run(control.submit_change(world))
     world.start_router(router)
 
 
--- a/features/steps/domain_verb_steps.py
+++ b/features/steps/domain_verb_steps.py
@@ -60,7 +60,7 @@
     async def check():
         return _DOMAIN in await _domains_of_new_chats(context.world)
 
-    context.run(context.world.until(check, 'chats run in thu-duc again'))
+    context.run(context.world.wait_until(check, 'chats run in thu-duc again'))
 
 
 @behave.then('the operator is told that it is unknown, and which there are')
@@ -77,13 +77,15 @@
 async def _domains_of_new_chats(world):
     """Send chats through both routers; return where they ran."""
     await asyncio.sleep(_IN_FORCE_S)
-    before = len(world.ran())
-    await calls.together(
+    before = len(world.executions_logged())
+    await calls.gather(
         *(
-            calls.send(world.address(router), calls.chat(f'c-{number}'))
+            calls.send(
+                world.address(router), calls.chat_request(f'c-{number}')
+            )
             for number in range(_CHATS)
             for router in world.routers
         )
     )
-    ran = world.ran()[before:]
+    ran = world.executions_logged()[before:]
     return {world.backends[line['instance']]['domain'] for line in ran}
--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -49,8 +49,13 @@
 
 def _ran(context):
     """Return how often servers began with a filing that ends them."""
-    ended = {line['request_id'] for line in context.world.ran('end')}
-    return sum(line['request_id'] not in ended for line in context.world.ran())
+    ended = {
+        line['request_id'] for line in context.world.executions_logged('end')
+    }
+    return sum(
+        line['request_id'] not in ended
+        for line in context.world.executions_logged()
+    )
 
 
 async def _start_again(context):
@@ -66,7 +71,7 @@
 
 
 async def _send_ending(context, router):
-    request = calls.filing(query=_ENDING, body=_ENDING_BODY)
+    request = calls.filing_request(query=_ENDING, body=_ENDING_BODY)
     return await calls.send(context.world.address(router), request)
 
 
@@ -88,6 +93,6 @@
             context.refused.append(await _send_ending(context, router))
             body = f'harmless {next(context.numbers)}'.encode()
             address = context.world.address(router)
-            reply = await calls.send(address, calls.filing(body=body))
+            reply = await calls.send(address, calls.filing_request(body=body))
             context.others.append(reply)
         await asyncio.sleep(_PAUSE_S)
--- a/features/steps/engine_steps.py
+++ b/features/steps/engine_steps.py
@@ -62,11 +62,13 @@
 
     async def one(number):
         await asyncio.sleep(generator.uniform(0, seconds))
-        request = calls.chat(f'few-{number % 10}', tokens=_SURGE_TOKENS)
+        request = calls.chat_request(
+            f'few-{number % 10}', tokens=_SURGE_TOKENS
+        )
         address = world.address(entries[number % 2])
         return await calls.send(address, request)
 
-    context.replies = await calls.together(
+    context.replies = await calls.gather(
         *(one(number) for number in range(count))
     )
 
@@ -86,7 +88,9 @@
     """
     count = len(world.backends)
     lines = sorted(
-        world.ran('start') + world.ran('end') + world.ran('cancel'),
+        world.executions_logged('start')
+        + world.executions_logged('end')
+        + world.executions_logged('cancel'),
         key=lambda line: line['time'],
     )
     running = dict.fromkeys(world.backends, 0)
@@ -148,12 +152,12 @@
     world = context.world
 
     async def check():
-        request = calls.chat(context.chat, Honeyport_Deadline='3')
+        request = calls.chat_request(context.chat, Honeyport_Deadline='3')
         reply = await calls.send(world.address('router-1'), request)
         served = reply.headers.get('Honeyport-Placement', '')
-        return served if reply.whole and wanted(served) else None
+        return served if reply.is_complete and wanted(served) else None
 
-    return await world.until(check, 'the chat is served as wanted')
+    return await world.wait_until(check, 'the chat is served as wanted')
 
 
 @behave.given('a fleet with an instance list that lags {lag:d} ms')
@@ -178,7 +182,9 @@
         world.start_router(f'router-{number}')
     await world.roll()
     await fleet_steps.ready(world)
-    await world.until(lambda: fleet_steps.settled(world), 'all is settled')
+    await world.wait_until(
+        lambda: fleet_steps.settled(world), 'all is settled'
+    )
 
 
 @behave.when('the instance list says that "{name}" is leaving')
@@ -203,7 +209,11 @@
     context.run(asyncio.sleep(seconds))
     context.run(many_turns(context))
     world = context.world
-    after = [line for line in world.ran() if line['time'] > context.began]
+    after = [
+        line
+        for line in world.executions_logged()
+        if line['time'] > context.began
+    ]
     assert len(after) == 40, len(after)
     assert name not in {line['instance'] for line in after}
 
@@ -211,16 +221,18 @@
 async def many_turns(context):
     world = context.world
     context.began = time.time()
-    replies = await calls.together(
+    replies = await calls.gather(
         *(
             calls.send(
                 world.address(world.routers[number % 2]),
-                calls.chat(f'n-{number}', Honeyport_Placement='draft-llm-2'),
+                calls.chat_request(
+                    f'n-{number}', Honeyport_Placement='draft-llm-2'
+                ),
             )
             for number in range(40)
         )
     )
-    assert all(reply.whole for reply in replies)
+    assert all(reply.is_complete for reply in replies)
 
 
 @behave.when(
@@ -236,21 +248,23 @@
     address = world.address('router-1')
 
     def turn(account, number):
-        request = calls.chat(f'{account}-{number}', account=account, tokens=20)
+        request = calls.chat_request(
+            f'{account}-{number}', account=account, tokens=20
+        )
         return asyncio.ensure_future(calls.send(address, request))
 
     big = [turn(large, number) for number in range(many)]
     await asyncio.sleep(0.3)
     little = [turn(small, number) for number in range(few)]
-    context.big = await calls.together(*big)
-    context.little = await calls.together(*little)
+    context.big = await calls.gather(*big)
+    context.little = await calls.gather(*little)
     context.replies = context.big + context.little
 
 
 @behave.then('the turns of "{small}" wait no longer than a third of the surge')
 def step_no_longer(context, small):
-    surge_s = max(reply.took_s for reply in context.big)
-    little_s = max(reply.took_s for reply in context.little)
+    surge_s = max(reply.duration_s for reply in context.big)
+    little_s = max(reply.duration_s for reply in context.little)
     assert little_s < surge_s / 3, (little_s, surge_s)
 
 
@@ -262,11 +276,11 @@
     address = context.world.address('router-1')
 
     async def send_all():
-        return await calls.together(
+        return await calls.gather(
             *(
                 calls.send(
                     address,
-                    calls.chat(
+                    calls.chat_request(
                         f'd-{number}',
                         tokens=200,
                         Honeyport_Deadline=str(seconds),
@@ -286,8 +300,8 @@
 def step_refused_at_once(context, limit):
     refused = [reply for reply in context.replies if reply.status == 429]
     assert refused, context.replies
-    early = [reply for reply in refused if reply.took_s < limit / 1000]
-    assert len(early) >= len(refused) / 2, [r.took_s for r in refused]
+    early = [reply for reply in refused if reply.duration_s < limit / 1000]
+    assert len(early) >= len(refused) / 2, [r.duration_s for r in refused]
     for reply in refused:
         assert reply.error['ran'] is False
         assert int(reply.headers['Retry-After']) >= 1
@@ -312,10 +326,10 @@
         async with room:
             return await calls.send(
                 world.address('router-1'),
-                calls.chat(chat, Honeyport_Placement=context.warm),
+                calls.chat_request(chat, Honeyport_Placement=context.warm),
             )
 
-    return await calls.together(*(one(chat) for chat in context.chats))
+    return await calls.gather(*(one(chat) for chat in context.chats))
 
 
 @behave.then('the next turns of these chats find their prefixes elsewhere')
@@ -329,7 +343,7 @@
             for line in world.log(name)
         )
 
-    context.run(world.until(moved, 'the prefixes are moved', 5))
+    context.run(world.wait_until(moved, 'the prefixes are moved', 5))
     replies = context.run(turns_of(context))
     hits = [reply.headers['X-Cache'] == 'hit' for reply in replies]
     served = {reply.headers['Honeyport-Placement'] for reply in replies}
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -19,19 +19,20 @@
 async def start_long(context, count, router):
     """Start answers that take a while; return once all have begun."""
     world = context.world
-    before = len(world.ran())
+    before = len(world.executions_logged())
     context.running = [
         asyncio.ensure_future(
             calls.send(
                 world.address(router),
-                calls.chat(f'long-{number}', tokens=_LONG_TOKENS),
+                calls.chat_request(f'long-{number}', tokens=_LONG_TOKENS),
             )
         )
         for number in range(count)
     ]
     world.tasks += context.running
-    await world.until(
-        lambda: len(world.ran()) >= before + count, 'the answers run'
+    await world.wait_until(
+        lambda: len(world.executions_logged()) >= before + count,
+        'the answers run',
     )
 
 
@@ -73,7 +74,7 @@
 
 @behave.then('every running answer is whole and is what the engine wrote')
 def step_running_whole(context):
-    replies = context.run(calls.together(*context.running))
+    replies = context.run(calls.gather(*context.running))
     for reply in replies:
         serving_steps.check_written(context, reply)
 
@@ -81,14 +82,14 @@
 @behave.when('a caller sends a chat turn to "{router}"')
 def step_turn(context, router):
     context.run(asyncio.sleep(0.1))
-    serving_steps.send(context, router, calls.chat('yard-9'))
+    serving_steps.send(context, router, calls.chat_request('yard-9'))
 
 
 @behave.then('every engine serves through "{router}"')
 def step_engines_serve(context, router):
     world = context.world
     context.run(
-        world.until(
+        world.wait_until(
             lambda: engines_serve(world, router), 'every engine serves'
         )
     )
@@ -97,10 +98,13 @@
 async def engines_serve(world, router):
     """Whether every engine answers through a router."""
     for name in world.backends:
-        request = calls.chat(
+        request = calls.chat_request(
             'probe', Honeyport_Placement=name, Honeyport_Deadline='3'
         )
         reply = await calls.send(world.address(router), request)
-        if not reply.whole or reply.headers['Honeyport-Placement'] != name:
+        if (
+            not reply.is_complete
+            or reply.headers['Honeyport-Placement'] != name
+        ):
             return False
     return True
--- a/features/steps/filing_steps.py
+++ b/features/steps/filing_steps.py
@@ -19,13 +19,13 @@
 
 def runs(world, key):
     """Return how often a key ran."""
-    return sum(line['key'] == key for line in world.ran())
+    return sum(line['key'] == key for line in world.executions_logged())
 
 
 async def file(context, router, key, **options):
     """Send a filing and keep what its caller was told."""
     address = context.world.address(router)
-    reply = await calls.send(address, calls.filing(key, **options))
+    reply = await calls.send(address, calls.filing_request(key, **options))
     context.told.append((key, reply))
     return reply
 
@@ -55,7 +55,9 @@
         world.start_router(f'router-{number}')
     await world.roll()
     await fleet_steps.ready(world)
-    await world.until(lambda: fleet_steps.settled(world), 'all is settled')
+    await world.wait_until(
+        lambda: fleet_steps.settled(world), 'all is settled'
+    )
 
 
 @behave.when('a filing is sent to "{first}" and again to "{second}"')
@@ -78,17 +80,23 @@
 
 @behave.then('the filing ran once')
 def step_once(context):
-    assert runs(context.world, context.key) == 1, context.world.ran()
+    assert runs(context.world, context.key) == 1, (
+        context.world.executions_logged()
+    )
 
 
 @behave.then('the filing ran at most once')
 def step_at_most_once(context):
-    assert runs(context.world, context.key) <= 1, context.world.ran()
+    assert runs(context.world, context.key) <= 1, (
+        context.world.executions_logged()
+    )
 
 
 @behave.then('the filing never ran')
 def step_never(context):
-    assert runs(context.world, context.key) == 0, context.world.ran()
+    assert runs(context.world, context.key) == 0, (
+        context.world.executions_logged()
+    )
 
 
 @behave.when('a filing is sent to "{router}" whose answer the service loses')
@@ -125,8 +133,8 @@
         file(context, 'router-1', context.key, **context.options)
     )
     world = context.world
-    await world.until(lambda: runs(world, context.key), 'it runs')
-    context.replies = await calls.together(
+    await world.wait_until(lambda: runs(world, context.key), 'it runs')
+    context.replies = await calls.gather(
         file(context, 'router-2', context.key, **context.options),
         file(context, 'router-3', context.key, **context.options),
     )
@@ -159,7 +167,7 @@
     first = asyncio.ensure_future(
         file(context, router, context.key, **context.options)
     )
-    await world.until(lambda: runs(world, context.key), 'it runs')
+    await world.wait_until(lambda: runs(world, context.key), 'it runs')
     await world.kill(router)
     await first
 
@@ -186,14 +194,16 @@
     """Have a filing queue behind another that keeps the only slot."""
     begin(context)
     world = context.world
-    blocking = calls.filing(query='?slow=2500')
+    blocking = calls.filing_request(query='?slow=2500')
     occupied = asyncio.ensure_future(
         calls.send(world.address('router-2'), blocking)
     )
-    await world.until(lambda: world.ran(), 'the slot is taken')
+    await world.wait_until(
+        lambda: world.executions_logged(), 'the slot is taken'
+    )
     waiting = asyncio.ensure_future(file(context, router, context.key))
     world.tasks += [occupied, waiting]
-    await world.until(lambda: claimed(context), 'the claim is committed')
+    await world.wait_until(lambda: claimed(context), 'the claim is committed')
     await asyncio.sleep(0.2)
 
 
@@ -210,7 +220,7 @@
 async def metrics_of(world, name):
     """Return the lines of a control replica's metrics."""
     address = world.settings[name]['http_listen']
-    reply = await calls.send(address, calls.get('/metrics'))
+    reply = await calls.send(address, calls.get_request('/metrics'))
     return reply.body.decode().splitlines()
 
 
@@ -247,12 +257,14 @@
 
 async def refused(context):
     world = context.world
-    blocking = calls.filing(query='?slow=1500')
+    blocking = calls.filing_request(query='?slow=1500')
     occupied = asyncio.ensure_future(
         calls.send(world.address('router-2'), blocking)
     )
     world.tasks.append(occupied)
-    await world.until(lambda: world.ran(), 'the slot is taken')
+    await world.wait_until(
+        lambda: world.executions_logged(), 'the slot is taken'
+    )
     reply = await file(context, 'router-1', context.key, deadline_s=0.5)
     context.replies = [reply]
 
@@ -319,7 +331,9 @@
 
 @behave.then('every filing ran at most once')
 def step_all_at_most_once(context):
-    counted = collections.Counter(line['key'] for line in context.world.ran())
+    counted = collections.Counter(
+        line['key'] for line in context.world.executions_logged()
+    )
     counted.pop('', None)
     doubled = {key: n for key, n in counted.items() if n > 1}
     assert not doubled, doubled
@@ -339,4 +353,6 @@
         if denied and not answered and len(denied) == len(replies):
             assert ran == 0, (key, replies)
         for reply in replies:
-            assert reply.status == 200 or reply.error or reply.cut, reply
+            assert (
+                reply.status == 200 or reply.error or reply.is_interrupted
+            ), reply
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -10,14 +10,16 @@
     for name in world.routers:
         if world.processes[name].poll() is not None:
             continue
-        await world.until(
+        await world.wait_until(
             lambda name=name: healthy(world, name), f'{name} serves'
         )
 
 
 async def healthy(world, name):
     """Whether a router may take work."""
-    reply = await calls.send(world.address(name), calls.get('/healthz'))
+    reply = await calls.send(
+        world.address(name), calls.get_request('/healthz')
+    )
     return reply.status == 200
 
 
@@ -32,7 +34,9 @@
         world.start_router(f'router-{number}')
     await world.roll()
     await ready(world)
-    await world.until(lambda: settled(world), 'every engine has a steward')
+    await world.wait_until(
+        lambda: settled(world), 'every engine has a steward'
+    )
 
 
 async def settled(world):
@@ -41,7 +45,7 @@
         service = world.backends[name]['service']
         path = f'/services/{service}/ping'
         if service == 'field-app':
-            request = calls.get(path)
+            request = calls.get_request(path)
             request = calls.http.Request(
                 method='GET',
                 path=path,
@@ -52,7 +56,7 @@
                 ],
             )
         else:
-            request = calls.chat(
+            request = calls.chat_request(
                 'warm-up',
                 tokens=1,
                 Honeyport_Placement=name,
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -50,7 +50,7 @@
 
 async def state(world, name):
     """Return what an engine says it is."""
-    reply = await calls.send(world.address(name), calls.get('/orders'))
+    reply = await calls.send(world.address(name), calls.get_request('/orders'))
     return json.loads(reply.body) if reply.status == 200 else None
 
 
@@ -64,7 +64,7 @@
                 return False
         return True
 
-    await world.until(all_are, 'all engines are as wanted')
+    await world.wait_until(all_are, 'all engines are as wanted')
 
 
 def loads(world):
@@ -86,7 +86,7 @@
     for number in range(30):
         address = world.address(world.routers[number % len(world.routers)])
         context.turns.append(
-            await calls.send(address, calls.chat(f'during-{number}'))
+            await calls.send(address, calls.chat_request(f'during-{number}'))
         )
     await rolling
 
@@ -103,7 +103,7 @@
     world.model['version'] = version
     name = await control.leader(world)
     await world.roll()
-    await world.until(lambda: loads(world), 'the first load begins')
+    await world.wait_until(lambda: loads(world), 'the first load begins')
     await world.kill(name)
 
 
@@ -149,8 +149,8 @@
 
 @behave.then('turns were answered all the while')
 def step_turns(context):
-    assert all(reply.whole for reply in context.turns), [
-        reply for reply in context.turns if not reply.whole
+    assert all(reply.is_complete for reply in context.turns), [
+        reply for reply in context.turns if not reply.is_complete
     ][:2]
 
 
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -11,16 +11,18 @@
 def check_written(context, reply):
     """Check that an answer is whole, and is what an engine wrote."""
     assert reply.status == 200, reply
-    assert reply.whole, reply.body[-300:]
-    written = [line['digest'] for line in context.world.ran('end')]
-    assert reply.written in written
+    assert reply.is_complete, reply.body[-300:]
+    written = [
+        line['digest'] for line in context.world.executions_logged('end')
+    ]
+    assert reply.written_digest in written
 
 
 @behave.when('a caller asks for the address of chat "{chat}"')
 def step_ask(context, chat):
     path = f'/v1/addresses?service=draft-llm&chat={chat}'
     address = context.world.address('router-1')
-    reply = context.run(calls.send(address, calls.get(path)))
+    reply = context.run(calls.send(address, calls.get_request(path)))
     found = json.loads(reply.body)
     assert found['ttl_s'] > 0
     context.chat = chat
@@ -29,14 +31,16 @@
 
 @behave.when('the caller sends a chat turn there')
 def step_send_there(context):
-    request = calls.chat(context.chat)
+    request = calls.chat_request(context.chat)
     context.replies = [context.run(calls.send(context.found, request))]
 
 
 @behave.when('a caller sends a turn of chat "{chat}" to every router')
 def step_send_all(context, chat):
     context.replies = [
-        context.run(calls.send(context.world.address(name), calls.chat(chat)))
+        context.run(
+            calls.send(context.world.address(name), calls.chat_request(chat))
+        )
         for name in context.world.routers
     ]
 
@@ -51,7 +55,9 @@
 
 @behave.then('no router had to pass it on')
 def step_no_hop(context):
-    reply = context.run(calls.send(context.found, calls.get('/metrics')))
+    reply = context.run(
+        calls.send(context.found, calls.get_request('/metrics'))
+    )
     lines = reply.body.decode().splitlines()
     hops = [x for x in lines if x.startswith('honeyport_hops_total')]
     direct = [x for x in hops if 'kind="none"' in x]
@@ -67,7 +73,7 @@
 @behave.when('a caller sends a filing to "{router}"')
 def step_filing(context, router):
     address = context.world.address(router)
-    request = calls.filing(calls.new_key())
+    request = calls.filing_request(calls.new_key())
     context.replies = [context.run(calls.send(address, request))]
 
 
@@ -78,17 +84,21 @@
 
 @behave.then('it ran once')
 def step_ran_once(context):
-    assert len(context.world.ran()) == 1, context.world.ran()
+    assert len(context.world.executions_logged()) == 1, (
+        context.world.executions_logged()
+    )
 
 
 @behave.then('nothing ran')
 def step_nothing_ran(context):
-    assert not context.world.ran(), context.world.ran()
+    assert not context.world.executions_logged(), (
+        context.world.executions_logged()
+    )
 
 
 @behave.when('a caller sends a turn that does not stream to "{router}"')
 def step_whole_json(context, router):
-    request = calls.chat('yard-3', stream=False)
+    request = calls.chat_request('yard-3', stream=False)
     address = context.world.address(router)
     context.replies = [context.run(calls.send(address, request))]
 
@@ -96,19 +106,19 @@
 @behave.then('the answer is a whole JSON document')
 def step_json(context):
     reply = context.replies[-1]
-    assert reply.status == 200 and not reply.cut
+    assert reply.status == 200 and not reply.is_interrupted
     message = json.loads(reply.body)['choices'][0]['message']
     assert len(message['content'].split()) == 8
 
 
 @behave.when('a caller asks "{router}" for a service that is not there')
 def step_no_service(context, router):
-    send(context, router, calls.chat('c', service='no-such'))
+    send(context, router, calls.chat_request('c', service='no-such'))
 
 
 @behave.when('an unknown client account sends a turn to "{router}"')
 def step_no_account(context, router):
-    send(context, router, calls.chat('c', account='nobody'))
+    send(context, router, calls.chat_request('c', account='nobody'))
 
 
 @behave.when('a caller sends "{router}" a body that is not JSON')
--- a/features/support/callers.py
+++ b/features/support/callers.py
@@ -65,7 +65,7 @@
     failed: set[int] = attrs.field(factory=set)
 
 
-def play(
+def simulate(
     gateways: list[Gateway],
     count: int,
     per_s: float,
--- a/features/support/calls.py
+++ b/features/support/calls.py
@@ -23,9 +23,9 @@
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
     body: bytes = b''
-    cut: bool = False
-    first_s: float = 0.0
-    took_s: float = 0.0
+    is_interrupted: bool = False
+    first_byte_s: float = 0.0
+    duration_s: float = 0.0
 
     @property
     def error(self) -> dict[str, typing.Any]:
@@ -36,18 +36,18 @@
             return {}
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether a stream says that it is whole, and is."""
         before, found, length = self.body.rpartition(b': whole bytes=')
         return (
-            not self.cut
+            not self.is_interrupted
             and bool(found)
             and before.endswith(b'data: [DONE]\n\n')
             and int(length) == len(before)
         )
 
     @property
-    def written(self) -> str:
+    def written_digest(self) -> str:
         """The digest of what the engine wrote, as the caller got it."""
         before, _, _ = self.body.rpartition(b': whole bytes=')
         return hashlib.sha256(before).hexdigest()
@@ -64,17 +64,19 @@
                 reply.status = part.status
                 reply.headers = dict(part.headers.get_all())
             else:
-                reply.first_s = reply.first_s or time.monotonic() - started
+                reply.first_byte_s = (
+                    reply.first_byte_s or time.monotonic() - started
+                )
                 reply.body += part
     except errors.HoneyportError:
-        reply.cut = True
+        reply.is_interrupted = True
     finally:
         pool.close()
-    reply.took_s = time.monotonic() - started
+    reply.duration_s = time.monotonic() - started
     return reply
 
 
-def chat(
+def chat_request(
     name: str,
     *,
     account: str = 'district-1',
@@ -105,7 +107,7 @@
     )
 
 
-def filing(
+def filing_request(
     key: str = '',
     *,
     body: bytes = b'{"yard": 17}',
@@ -128,7 +130,7 @@
     )
 
 
-def get(path: str) -> http.Request:
+def get_request(path: str) -> http.Request:
     """Return a plain GET."""
     return http.Request(method='GET', path=path)
 
@@ -138,7 +140,7 @@
     return claims.new_key(time.time(), secrets.randbits)
 
 
-async def together(
+async def gather(
     *sends: typing.Awaitable[Reply],
 ) -> list[Reply]:
     """Send several at once."""
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -47,7 +47,7 @@
                 return name
         return None
 
-    return await world.until(find, 'a replica leads', _LEADER_S)
+    return await world.wait_until(find, 'a replica leads', _LEADER_S)
 
 
 def followers(world, leading):
@@ -55,19 +55,19 @@
     return [name for name in world.control if name != leading]
 
 
-async def change(world):
+async def submit_change(world):
     """Make the next change and wait until it is in force."""
     world.limits['queue'] = 100 + world.version
     await world.roll()
 
 
-async def versions(world):
+async def versions_in_force(world):
     """Return the version in force on each running router."""
     found = {}
     for name in world.routers:
         if world.processes[name].poll() is None:
             reply = await calls.send(
-                world.address(name), calls.get('/metrics')
+                world.address(name), calls.get_request('/metrics')
             )
             for line in reply.body.decode().splitlines():
                 if line.startswith('honeyport_config_version '):
@@ -75,7 +75,7 @@
     return found
 
 
-async def caught_up(world, name):
+async def has_caught_up(world, name):
     """Whether a replica answers and may vote."""
     answer = await identify(world.control[name])
     return answer is not None and answer.admitted and answer.last_index
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -65,7 +65,9 @@
         """Return where a process serves callers."""
         return self.settings[name]['listen']
 
-    def ran(self, event: str = 'start') -> list[dict[str, typing.Any]]:
+    def executions_logged(
+        self, event: str = 'start'
+    ) -> list[dict[str, typing.Any]]:
         """Return the executions that the stand-ins logged."""
         if not self.executions.exists():
             return []
@@ -257,7 +259,7 @@
 
     # -- waiting ----------------------------------------------------------
 
-    async def until(
+    async def wait_until(
         self,
         check: typing.Callable[[], typing.Any],
         what: str,
--- a/src/honeyport/backend/refusals.py
+++ b/src/honeyport/backend/connection_errors.py
@@ -3,7 +3,7 @@
 from honeyport import errors
 
 
-def cause(error: BaseException) -> BaseException:
+def root_cause(error: BaseException) -> BaseException:
     """Return what broke a connection.
 
     Tornado says that its stream is closed, and keeps beside it why.
@@ -11,7 +11,7 @@
     return getattr(error, 'real_error', None) or error
 
 
-def kind(found: BaseException) -> type[errors.NotSent]:
+def error_class(found: BaseException) -> type[errors.NotSent]:
     """Return the error for a connection that could not be made."""
     if isinstance(found, ConnectionRefusedError):
         return errors.ConnectionRefused
--- a/src/honeyport/backend/engine.py
+++ b/src/honeyport/backend/engine.py
@@ -26,12 +26,12 @@
 class CacheEvents:
     """What an engine says of its cache.
 
-    :param last: number of the last event
-    :param evicted: chats whose prefixes were dropped
+    :param last_number: number of the last event
+    :param evicted_chats: chats whose prefixes were dropped
     """
 
-    last: int
-    evicted: tuple[str, ...]
+    last_number: int
+    evicted_chats: tuple[str, ...]
 
 
 @registry.register('engine')
--- a/src/honeyport/backend/http.py
+++ b/src/honeyport/backend/http.py
@@ -17,7 +17,7 @@
 from tornado import httputil
 from tornado import iostream
 
-from honeyport.backend import refusals
+from honeyport.backend import connection_errors
 from honeyport import errors
 from honeyport.settings import roles
 
@@ -210,8 +210,8 @@
                 await stream.connect((self._host, self._port))
         except (OSError, TimeoutError) as error:
             stream.close()
-            cause = refusals.cause(error)
-            raise refusals.kind(cause)(
+            cause = connection_errors.root_cause(error)
+            raise connection_errors.error_class(cause)(
                 f'{self._address} cannot be reached: {cause}'
             ) from None
         stream.set_nodelay(True)
--- a/src/honeyport/control/instance_lists.py
+++ b/src/honeyport/control/instance_lists.py
@@ -115,7 +115,7 @@
         """
         if not self._digests:
             self._digests = listing.digests(self._latest)
-        parts = set(listing.differing(self._digests, digests))
+        parts = set(listing.differing_parts(self._digests, digests))
         instances = [
             instance
             for instance in self._latest
--- a/src/honeyport/gateway/attempt.py
+++ b/src/honeyport/gateway/attempt.py
@@ -9,7 +9,7 @@
 from tornado import httputil
 from tornado import iostream
 
-from honeyport.backend import refusals
+from honeyport.backend import connection_errors
 from honeyport import errors
 from honeyport.gateway import headers as gateway_headers
 from honeyport.gateway import pool
@@ -215,7 +215,7 @@
 
 def _describe_cause(error: BaseException) -> str:
     """Describe a connection error in one line."""
-    cause = refusals.cause(error)
+    cause = connection_errors.root_cause(error)
     for kind, text in _CAUSE_TEXTS.items():
         if isinstance(cause, kind):
             return f'{text}: {cause!r}'
--- a/src/honeyport/gateway/pool.py
+++ b/src/honeyport/gateway/pool.py
@@ -9,7 +9,7 @@
 from tornado import iostream
 from tornado import tcpclient
 
-from honeyport.backend import refusals
+from honeyport.backend import connection_errors
 from honeyport.policy import placement
 
 _CONNECT_TIMEOUT_S = 0.3
@@ -122,8 +122,8 @@
                 timeout=_CONNECT_TIMEOUT_S,
             )
         except (OSError, TimeoutError) as error:
-            cause = refusals.cause(error)
-            raise refusals.kind(cause)(
+            cause = connection_errors.root_cause(error)
+            raise connection_errors.error_class(cause)(
                 f'{instance.address}: {cause!r}', retry_after=_RETRY_AFTER_S
             ) from None
         stream.set_nodelay(True)
--- a/src/honeyport/router/prefix_transfer.py
+++ b/src/honeyport/router/prefix_transfer.py
@@ -50,8 +50,8 @@
 
     def remove_evicted(self, cache_events: engine.CacheEvents) -> None:
         """Remove the chats whose prefixes the engine has evicted."""
-        self._last_event = max(self._last_event, cache_events.last)
-        for chat in cache_events.evicted:
+        self._last_event = max(self._last_event, cache_events.last_number)
+        for chat in cache_events.evicted_chats:
             self._chats.pop(chat, None)
 
     def pop_all(self) -> list[str]:
--- a/src/honeyport/wire/listing.py
+++ b/src/honeyport/wire/listing.py
@@ -96,7 +96,7 @@
     return b''.join(one.digest()[:_DIGEST_BYTES] for one in found)
 
 
-def differing(one: bytes, other: bytes) -> list[int]:
+def differing_parts(one: bytes, other: bytes) -> list[int]:
     """Return the parts that differ between two lists, by their digests."""
     size = _DIGEST_BYTES
     if len(one) != len(other):
