--- a/features/promises/soak.feature
+++ b/features/promises/soak.feature
@@ -1,9 +1,9 @@
 @alone
-Feature: Nothing promised is broken while faults overlap
+Feature: The invariants hold while several faults overlap
 
-  Scenario Outline: a seed of the soak
-    When the soak plays seed <seed>
-    Then no promise was broken
+  Scenario Outline: a soak with one seed
+    When the soak runs with seed <seed>
+    Then no invariant is violated
 
     Examples:
       | seed |
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the soak, which runs as a program of its own."""
+"""Steps that run the soak as a subprocess."""
 
 import os
 import pathlib
@@ -12,12 +12,12 @@
 _ROOT = pathlib.Path(__file__).parent.parent.parent
 
 
-@behave.when('the soak plays seed {seed:d}')
-def step_play(context, seed):
-    context.played = subprocess.run(
+@behave.when('the soak runs with seed {seed:d}')
+def step_run_soak(context, seed):
+    context.soak = subprocess.run(
         [sys.executable, '-m', 'soak', 'play', str(seed)],
         cwd=_ROOT,
-        # On our own host: two runs of the suite want the same ports else.
+        # On the host of this scenario: parallel runs need distinct ports.
         env={**os.environ, 'HONEYPORT_SOAK_HOST': local.HOST},
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
@@ -25,6 +25,6 @@
     )
 
 
-@behave.then('no promise was broken')
-def step_none_broken(context):
-    assert not context.played.returncode, context.played.stdout
+@behave.then('no invariant is violated')
+def step_no_violation(context):
+    assert not context.soak.returncode, context.soak.stdout
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes, faults from outside, checked promises."""
+"""Randomized soak tests: real processes, injected faults, invariants."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play seeds: ``python -m soak many --seeds=1,2 --first=9 --count=4``."""
+"""Run soaks: ``python -m soak many --seeds=1,2 --first=9 --count=4``."""
 
 import asyncio
 import concurrent.futures
@@ -22,26 +22,26 @@
 from soak import site as soak_site
 
 _HOST_VARIABLE = 'HONEYPORT_SOAK_HOST'
-_FIRST_HOST = 60  # of 127.0.0.x; the features use those up to 30
-_READY_S = 20.0
+_FIRST_HOST = 60  # last octet of 127.0.0.x
+_STARTUP_TIMEOUT_S = 20.0
 _CALLERS = 8
-_FAULTS = (6, 16)
-_CHAOS_S = 12.0
-# After the last fault: the platforms' bound on recovery is 12 s; a node on a
-# busy machine has imported its modules within 3.
+_FAULT_COUNT = (6, 16)  # (minimum, maximum)
+_FAULT_WINDOW_S = 12.0  # in which all faults begin
+# From the end of the last fault until requests have to be served again.
 _RECOVERY_S = 8.0
-_CALM_S = 4.0
+_AFTER_RECOVERY_S = 4.0  # traffic that service_recovers checks
 
 
 @attrs.frozen
-class _Strike:
-    """One fault of a plan.
+class _PlannedFault:
+    """A scheduled fault.
 
-    :ivar at_s: seconds after the callers began
-    :ivar seed: of what it disturbs, and for how long
+    :ivar start_s: seconds after the callers started
+    :ivar name: key in :data:`faults.FAULTS`
+    :ivar seed: seeds the targets and durations of the fault
     """
 
-    at_s: float
+    start_s: float
     name: str
     seed: int
 
@@ -49,87 +49,92 @@
 async def _play(
     seed: int, names: tuple[str, ...], folder: pathlib.Path
 ) -> list[str]:
-    """Play one seed; return what was broken."""
-    strikes = _draw(seed, names)
-    found = soak_records.Records()
-    site = soak_site.Site(folder, found, random.Random(seed))
+    """Run the soak of one seed; return the violations."""
+    plan = _draw_plan(seed, names)
+    records = soak_records.Records()
+    site = soak_site.Site(folder, records, random.Random(seed))
     operator = soak_operator.Operator(site)
     await site.start()
     tasks: list[asyncio.Task[None]] = []
     try:
-        async with asyncio.timeout(_READY_S):
-            while not found.accepted:
+        async with asyncio.timeout(_STARTUP_TIMEOUT_S):
+            while not records.accepted:
                 await operator.change()
         tasks = [
-            asyncio.create_task(one)
-            for one in (
-                operator.run(),
-                operator.watch(),
+            asyncio.create_task(activity)
+            for activity in (
+                operator.run_changes(),
+                operator.run_reads(),
                 *(callers.Caller(site).run() for _ in range(_CALLERS)),
             )
         ]
         await asyncio.sleep(1.0)
-        kinds = ' '.join(strike.name for strike in strikes)
-        print(f'seed {seed}: {kinds}', flush=True)
+        names_text = ' '.join(planned.name for planned in plan)
+        print(f'seed {seed}: {names_text}', flush=True)
         await asyncio.gather(
-            *(_strike(strike, site, operator) for strike in strikes)
+            *(_inject(planned, site, operator) for planned in plan)
         )
         now = asyncio.get_running_loop().time()
-        found.calm_since = now + _RECOVERY_S
-        await asyncio.sleep(_RECOVERY_S + _CALM_S)
+        records.recovery_deadline = now + _RECOVERY_S
+        await asyncio.sleep(_RECOVERY_S + _AFTER_RECOVERY_S)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await operator.read_at_the_end()
+        await operator.read_final_configuration()
     finally:
         await site.stop()
-    broken = checks.violations(found)
-    served = sum(one.status == 200 for one in found.ended)
+    violations = checks.violations(records)
+    served = sum(result.status == 200 for result in records.results)
     print(
-        f'seed {seed}: {len(found.ended)} requests, {served} served, '
-        f'{len(found.accepted)} changes, {len(broken)} broken',
+        f'seed {seed}: {len(records.results)} requests, {served} served, '
+        f'{len(records.accepted)} changes, {len(violations)} violations',
         flush=True,
     )
-    return broken
+    return violations
 
 
-def _draw(seed: int, names: tuple[str, ...]) -> list[_Strike]:
-    """Return the faults of a seed, always the same ones.
+def _draw_plan(seed: int, names: tuple[str, ...]) -> list[_PlannedFault]:
+    """Return the plan of a seed, which is the same on every call.
 
-    :param names: play these instead, at times and with luck of the seed
+    :param names: inject these faults instead of drawn ones; their times and
+        seeds are still drawn
     """
-    chance = random.Random(seed)
-    count = chance.randint(*_FAULTS)
+    rng = random.Random(seed)
+    count = rng.randint(*_FAULT_COUNT)
     chosen = names or [
-        chance.choice(faults.drawn_by(seed)) for _ in range(count)
+        rng.choice(faults.faults_for_seed(seed)) for _ in range(count)
     ]
     return [
-        _Strike(chance.uniform(0, _CHAOS_S), name, chance.getrandbits(32))
+        _PlannedFault(
+            rng.uniform(0, _FAULT_WINDOW_S), name, rng.getrandbits(32)
+        )
         for name in chosen
     ]
 
 
-async def _strike(
-    strike: _Strike, site: soak_site.Site, operator: soak_operator.Operator
+async def _inject(
+    planned: _PlannedFault,
+    site: soak_site.Site,
+    operator: soak_operator.Operator,
 ) -> None:
-    await asyncio.sleep(strike.at_s)
-    chance = random.Random(strike.seed)
-    await faults.FAULTS[strike.name](site, operator, chance)
+    await asyncio.sleep(planned.start_s)
+    rng = random.Random(planned.seed)
+    await faults.FAULTS[planned.name](site, operator, rng)
 
 
 def play(seed: int, names: tuple[str, ...] = ()) -> None:
-    """Play one seed in this process; exit with 1 if a promise is broken.
+    """Run one seed in this process; exit with 1 if an invariant is violated.
 
-    :param names: these faults in place of the seed's own
+    :param names: inject these faults instead of drawn ones
     """
     local.HOST = os.environ.get(_HOST_VARIABLE, local.HOST)
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f'honeyport-soak-{seed}-'))
     log = (folder / 'soak.log').open('w')
     logs.configure('error', descriptor=log.fileno(), instance='soak')
-    broken = asyncio.run(_play(seed, tuple(names), folder))
-    for text in broken[:20]:
-        print(f'seed {seed}: broken: {text}')
-    if broken:
+    violations = asyncio.run(_play(seed, tuple(names), folder))
+    for text in violations[:20]:
+        print(f'seed {seed}: violation: {text}')
+    if violations:
         print(f'seed {seed}: logs in {folder}')
         sys.exit(1)
 
@@ -140,16 +145,18 @@
     count: int = 0,
     jobs: int = 4,
 ) -> None:
-    """Play seeds, several at a time; the last line is the verdict.
+    """Run several seeds in parallel; print ``N passed, N failed`` last.
 
-    :param seeds: seeds to play
-    :param first: the first of ``count`` more in a row
+    :param seeds: the seeds to run
+    :param first: the first of ``count`` consecutive further seeds
+    :param count: number of seeds from ``first``
+    :param jobs: number of seeds that run at a time
     """
     chosen = [seeds] if isinstance(seeds, int) else list(seeds)
     chosen += range(first, first + count)
     with concurrent.futures.ThreadPoolExecutor(jobs) as workers:
         futures = [
-            workers.submit(_play_apart, seed, _FIRST_HOST + number)
+            workers.submit(_play_in_subprocess, seed, _FIRST_HOST + number)
             for number, seed in enumerate(chosen)
         ]
         passed = [future.result() for future in futures]
@@ -157,8 +164,8 @@
     sys.exit(0 if all(passed) else 1)
 
 
-def _play_apart(seed: int, octet: int) -> bool:
-    """Play a seed in a process of its own, on hosts of its own."""
+def _play_in_subprocess(seed: int, octet: int) -> bool:
+    """Run a seed in a subprocess on its own loopback host."""
     result = subprocess.run(
         [sys.executable, '-m', 'soak', 'play', str(seed)],
         env={**os.environ, _HOST_VARIABLE: f'127.0.0.{octet}'},
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -1,4 +1,4 @@
-"""Instances of backend servers whose moods change."""
+"""Simulated backend servers with switchable failure modes."""
 
 import asyncio
 import contextlib
@@ -9,58 +9,58 @@
 from honeyport.settings import roles
 from soak import records as soak_records
 
-EVENTS = 8
-ENDING = b'what no instance survives'
-_EVENT_PAUSE_S = 0.03
-_WORK_S = 0.03
-_SLOW = 10.0  # how much longer a slow instance takes
-_LEAVING = 'Server-Leaving: 1\r\n'
-# From an answer until what an instance asks for in it has to hold.
-_ON_THE_WIRE_S = 0.5
-_DRAIN_S = 3.0
-MOODS = ('errors', 'shed', 'mute', 'cut', 'reset', 'slow', 'extra')
+EVENTS = 8  # in a complete stream
+FATAL_BODY = b'what no instance survives'  # crashes an instance
+_EVENT_INTERVAL_S = 0.03
+_SERVICE_TIME_S = 0.03
+_SLOWDOWN = 10.0  # factor of the failure mode 'slow'
+_SHUTDOWN_HEADER = 'Server-Leaving: 1\r\n'
+# From a response until its Retry-After has to be respected.
+_RETRY_AFTER_GRACE_S = 0.5
+_DRAIN_S = 3.0  # from the shutdown header until no request may arrive
+FAILURE_MODES = ('errors', 'shed', 'mute', 'cut', 'reset', 'slow', 'extra')
 
 
 def body_of(request_id: str, instance: str) -> bytes:
-    """Return the answer to a request."""
+    """Return the response body of a request."""
     return f'{request_id} by {instance};'.encode() * 20
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    """Return one event of a stream; the last one says so."""
+    """Return one server-sent event; the last has the data ``end``."""
     data = 'end' if number == EVENTS else f'{request_id} {number}'
     return f'id: {number}\ndata: {data}\n\n'.encode()
 
 
 class Instance:
-    """One instance, reached through a relay that can be disturbed.
+    """An instance behind a relay that can cut and delay its connections.
 
-    :param found: where its runs are recorded
+    :param records: receives the arrivals and executions
     """
 
     def __init__(
         self,
         name: str,
         service: str,
-        found: soak_records.Records,
-        chance: random.Random,
+        records: soak_records.Records,
+        rng: random.Random,
     ) -> None:
         self.name = name
         self.service = service
         self.state = 'ready'
-        self.mood = ''
-        self.rest_s = 0.0  # asked for with each request turned away
-        self.leaves = False  # says so in all answers
-        self.ended = False
-        self._found = found
-        self._random = chance
-        self._own_address = local.free_address()
-        self.relay = relay.Relay(self._own_address)
+        self.failure_mode = ''
+        self.retry_after_s = 0.0  # if not 0, rejects all requests with it
+        self.announces_shutdown = False  # by a header of each response
+        self.crashed = False
+        self._records = records
+        self._random = rng
+        self._server_address = local.free_address()
+        self.relay = relay.Relay(self._server_address)
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     def to_entry(self) -> dict[str, object]:
-        """Return its entry in the platform's list."""
+        """Return the entry of the platform's list."""
         return {
             'id': self.name,
             'service': self.service,
@@ -73,13 +73,13 @@
         }
 
     async def start(self) -> None:
-        """Take connections."""
-        host, port = roles.split_address(self._own_address)
+        """Start the server and its relay."""
+        host, port = roles.split_address(self._server_address)
         self._server = await asyncio.start_server(self._serve, host, port)
         await self.relay.start()
 
     async def stop(self) -> None:
-        """End it, connections included."""
+        """Stop the server and its relay and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -92,98 +92,110 @@
         self._writers.add(writer)
         with contextlib.suppress(
             OSError,
-            asyncio.CancelledError,  # the soak ends
+            asyncio.CancelledError,  # at the end of the soak
             asyncio.IncompleteReadError,
             RuntimeError,
         ):
-            while await self._answer_one(reader, writer):
+            while await self._handle_request(reader, writer):
                 pass
         self._writers.discard(writer)
         writer.close()
 
-    async def _answer_one(
+    async def _handle_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer a request; return whether the connection goes on."""
+        """Handle a request; return whether the connection stays open."""
         head = (await reader.readuntil(b'\r\n\r\n')).decode()
-        line, *rest = head.strip().split('\r\n')
-        headers = dict(one.split(': ', 1) for one in rest)
+        request_line, *header_lines = head.strip().split('\r\n')
+        headers = dict(
+            header_line.split(': ', 1) for header_line in header_lines
+        )
         length = int(headers.get('Content-Length', 0))
         body = await reader.readexactly(length)
         request_id = headers['Attempt-Id']
         if headers.get('Expected-Instance', self.name) != self.name:
-            writer.write(self._plain(request_id, '421 Misdirected', False))
+            writer.write(
+                self._format_response(request_id, '421 Misdirected', False)
+            )
             return True
         now = asyncio.get_running_loop().time()
-        self._found.arrivals.append(
-            soak_records.Run(request_id, self.name, now)
+        self._records.arrivals.append(
+            soak_records.RequestEvent(request_id, self.name, now)
         )
-        if self.leaves:
-            self._wish(request_id, _DRAIN_S, float('inf'))
-        if self.rest_s:
-            self._wish(request_id, _ON_THE_WIRE_S, self.rest_s)
-        if self.mood == 'shed' or self.rest_s:
-            writer.write(self._plain(request_id, '503 Full', False))
+        if self.announces_shutdown:
+            self._record_backoff(request_id, _DRAIN_S, float('inf'))
+        if self.retry_after_s:
+            self._record_backoff(
+                request_id, _RETRY_AFTER_GRACE_S, self.retry_after_s
+            )
+        if self.failure_mode == 'shed' or self.retry_after_s:
+            writer.write(self._format_response(request_id, '503 Full', False))
             return True
-        self._found.runs[request_id].append(
-            soak_records.Run(request_id, self.name, now)
+        self._records.executions[request_id].append(
+            soak_records.RequestEvent(request_id, self.name, now)
         )
-        if body == ENDING:
-            self._end()
+        if body == FATAL_BODY:
+            self._crash()
             return False
-        return await self._run(line, headers, reader, writer)
+        return await self._execute(request_line, headers, reader, writer)
 
-    def _wish(self, request_id: str, since_s: float, until_s: float) -> None:
-        at = asyncio.get_running_loop().time()
-        self._found.wishes.append(
-            soak_records.Wish(request_id, self.name, at, since_s, until_s)
+    def _record_backoff(
+        self, request_id: str, start_s: float, end_s: float
+    ) -> None:
+        now = asyncio.get_running_loop().time()
+        self._records.backoff_windows.append(
+            soak_records.BackoffWindow(
+                request_id, self.name, now, start_s, end_s
+            )
         )
 
-    def _end(self) -> None:
-        """End as a process does; what stands before it goes on."""
-        self._found.ends.append(asyncio.get_running_loop().time())
-        self.ended = True
+    def _crash(self) -> None:
+        """Close all sockets as a crash would; the relay stays up."""
+        self._records.crash_times.append(asyncio.get_running_loop().time())
+        self.crashed = True
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
-    async def _run(
+    async def _execute(
         self,
-        line: str,
+        request_line: str,
         headers: dict[str, str],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
         request_id = headers['Attempt-Id']
-        slow = _SLOW if self.mood == 'slow' else 1.0
-        await asyncio.sleep(_WORK_S * slow)
-        if self.mood == 'mute':
+        slowdown = _SLOWDOWN if self.failure_mode == 'slow' else 1.0
+        await asyncio.sleep(_SERVICE_TIME_S * slowdown)
+        if self.failure_mode == 'mute':
             await reader.read(1)
             return False
-        if self.mood == 'reset':
+        if self.failure_mode == 'reset':
             writer.transport.abort()
             return False
-        if self.mood == 'errors':
-            writer.write(self._plain(request_id, '500 Error', True))
+        if self.failure_mode == 'errors':
+            writer.write(self._format_response(request_id, '500 Error', True))
             return True
-        if '/chat/' in line or '/talk/' in line:
-            first = int(headers.get('Last-Event-Id', 0)) + 1
-            return await self._stream(request_id, first, slow, writer)
-        answer = self._plain(request_id, '200 OK', True)
-        if self.mood == 'cut':
-            writer.write(answer[:-7])
+        if '/chat/' in request_line or '/talk/' in request_line:
+            first_event = int(headers.get('Last-Event-Id', 0)) + 1
+            return await self._stream(
+                request_id, first_event, slowdown, writer
+            )
+        response = self._format_response(request_id, '200 OK', True)
+        if self.failure_mode == 'cut':
+            writer.write(response[:-7])
             return False
-        if self.mood == 'extra':
-            answer += self._plain('of-another-0', '200 OK', True)
-        writer.write(answer)
+        if self.failure_mode == 'extra':
+            response += self._format_response('of-another-0', '200 OK', True)
+        writer.write(response)
         return True
 
     async def _stream(
         self,
         request_id: str,
-        first: int,
-        slow: float,
+        first_event: int,
+        slowdown: float,
         writer: asyncio.StreamWriter,
     ) -> bool:
         writer.write(
@@ -191,36 +203,42 @@
                 'HTTP/1.1 200 OK\r\n'
                 f'Attempt-Id: {request_id}\r\n'
                 f'Response-Signature: {self.name}.{request_id}\r\n'
-                f'{_LEAVING if self.leaves else ""}'
+                f'{_SHUTDOWN_HEADER if self.announces_shutdown else ""}'
                 'Content-Type: text/event-stream\r\n'
                 'Transfer-Encoding: chunked\r\n\r\n'
             ).encode()
         )
-        cut_at = self._random.randint(1, EVENTS) if self.mood == 'cut' else 0
-        for number in range(first, EVENTS + 1):
+        cut_event = (
+            self._random.randint(1, EVENTS)
+            if self.failure_mode == 'cut'
+            else 0
+        )
+        for number in range(first_event, EVENTS + 1):
             event = event_of(request_id, number)
-            if number == cut_at:
+            if number == cut_event:
                 writer.write(f'{len(event):x}\r\n'.encode() + event[:5])
                 return False
             writer.write(f'{len(event):x}\r\n'.encode() + event + b'\r\n')
             await writer.drain()
-            await asyncio.sleep(_EVENT_PAUSE_S * slow)
+            await asyncio.sleep(_EVENT_INTERVAL_S * slowdown)
         writer.write(b'0\r\n\r\n')
         return True
 
-    def _plain(self, request_id: str, status: str, ran: bool) -> bytes:
-        body = body_of(request_id, self.name) if ran else b''
+    def _format_response(
+        self, request_id: str, status: str, executed: bool
+    ) -> bytes:
+        body = body_of(request_id, self.name) if executed else b''
         lines = [
             f'HTTP/1.1 {status}',
             f'Attempt-Id: {request_id}',
             f'Content-Length: {len(body)}',
         ]
-        if ran:
+        if executed:
             lines.append(f'Response-Signature: {self.name}.{request_id}')
         else:
             lines.append('Not-Executed: 1')
-        if self.rest_s and not ran:
-            lines.append(f'Retry-After: {self.rest_s:g}')
-        if self.leaves:
-            lines.append(_LEAVING.strip())
+        if self.retry_after_s and not executed:
+            lines.append(f'Retry-After: {self.retry_after_s:g}')
+        if self.announces_shutdown:
+            lines.append(_SHUTDOWN_HEADER.strip())
         return '\r\n'.join(lines).encode() + b'\r\n\r\n' + body
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they ask for addresses, keep connections and check answers."""
+"""Callers that resolve gateways, keep connections and check responses."""
 
 import asyncio
 import contextlib
@@ -13,26 +13,27 @@
 from soak import records as soak_records
 from soak import site as soak_site
 
-_DIRECTORY = 3  # which of a node's ports answers look-ups
+_RESOLUTION_PORT = 3  # index among the ports of a node
 _DEADLINES_MS = (1500, 3000)
-_PAUSE_S = (0.02, 0.15)
-_GIVE_UP_S = 6.0  # after the deadline; a process may be frozen for so long
-_NEW_CONNECTION = 0.2  # share of the requests that take one
-_GUEST = 0.2  # share of the requests with the newest version's own key
+_REQUEST_PAUSE_S = (0.02, 0.15)  # (minimum, maximum)
+# Beyond the deadline; covers the longest suspension of a process.
+_RESPONSE_GRACE_S = 6.0
+_RECONNECT_SHARE = 0.2  # of the requests
+_VERSION_KEY_SHARE = 0.2  # of the requests, with the newest version's key
 
 
 @attrs.frozen
-class _Answer:
+class _Response:
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class Caller:
-    """One client; it sends a request at a time."""
+    """A client that sends one request at a time."""
 
-    _numbers = itertools.count(1)
+    _request_numbers = itertools.count(1)
 
     def __init__(self, site: soak_site.Site) -> None:
         self._site = site
@@ -43,11 +44,11 @@
 
     async def run(self) -> None:
         """Send requests until cancelled."""
-        chance = self._site.chance
+        rng = self._site.rng
         try:
             while True:
-                await asyncio.sleep(chance.uniform(*_PAUSE_S))
-                if self._streams and chance.random() < _NEW_CONNECTION:
+                await asyncio.sleep(rng.uniform(*_REQUEST_PAUSE_S))
+                if self._streams and rng.random() < _RECONNECT_SHARE:
                     self._disconnect()
                 if self._streams is None and not await self._connect():
                     continue
@@ -56,14 +57,16 @@
             self._disconnect()
 
     async def _connect(self) -> bool:
-        """Ask a node which address to use, and connect there."""
-        node = self._site.chance.choice(self._site.nodes)
+        """Resolve a gateway address through a random node and connect."""
+        node = self._site.rng.choice(self._site.nodes)
         status, body = await self._site.request(
-            node, _DIRECTORY, '/api/resolution?name=x&region=r&zone=thu-duc'
+            node,
+            _RESOLUTION_PORT,
+            '/api/resolution?name=x&region=r&zone=thu-duc',
         )
         if status != 200:
             return False
-        self._address = self._site.chance.choice(json.loads(body)['addresses'])
+        self._address = self._site.rng.choice(json.loads(body)['addresses'])
         try:
             async with asyncio.timeout(1.0):
                 self._streams = await asyncio.open_connection(
@@ -79,53 +82,55 @@
         self._streams = None
 
     async def _request(self) -> None:
-        chance = self._site.chance
-        kind = chance.choice(soak_site.KINDS)
-        deadline_ms = chance.choice(_DEADLINES_MS)
-        request_id = f'{kind}-{next(self._numbers)}-{deadline_ms}'
-        key = self._key()
-        self._site.found.asked.add(request_id)
+        rng = self._site.rng
+        kind = rng.choice(soak_site.KINDS)
+        deadline_ms = rng.choice(_DEADLINES_MS)
+        request_id = f'{kind}-{next(self._request_numbers)}-{deadline_ms}'
+        key = self._choose_key()
+        self._site.records.sent_request_ids.add(request_id)
         loop = asyncio.get_running_loop()
-        sent = loop.time()
-        answer = _Answer(0, {}, b'', False)
+        sent_at = loop.time()
+        response = _Response(0, {}, b'', False)
         with contextlib.suppress(
             OSError, TimeoutError, asyncio.IncompleteReadError, ValueError
         ):
-            async with asyncio.timeout(deadline_ms / 1000 + _GIVE_UP_S):
-                answer = await self._exchange(
+            async with asyncio.timeout(deadline_ms / 1000 + _RESPONSE_GRACE_S):
+                response = await self._exchange(
                     kind, request_id, deadline_ms, key
                 )
-        ended = soak_records.Ended(
+        result = soak_records.RequestResult(
             request_id,
             kind,
             key,
-            self._node().name,
-            sent,
-            loop.time() - sent,
-            answer.status,
-            _problem(kind, request_id, answer),
+            self._connected_node().name,
+            sent_at,
+            loop.time() - sent_at,
+            response.status,
+            _find_problem(kind, request_id, response),
         )
-        self._site.found.ended.append(ended)
-        closing = answer.headers.get('Connection', '').lower() == 'close'
-        if not answer.whole or closing:
+        self._site.records.results.append(result)
+        server_closes = (
+            response.headers.get('Connection', '').lower() == 'close'
+        )
+        if not response.complete or server_closes:
             self._disconnect()
 
-    def _key(self) -> str:
-        accepted = self._site.found.accepted
-        if accepted and self._site.chance.random() < _GUEST:
+    def _choose_key(self) -> str:
+        accepted = self._site.records.accepted
+        if accepted and self._site.rng.random() < _VERSION_KEY_SHARE:
             return f'key-{accepted[-1].version}'
         return soak_site.MAIN_KEY
 
-    def _node(self) -> platform.Node:
+    def _connected_node(self) -> platform.Node:
         host = self._address.rpartition(':')[0]
-        return next(one for one in self._site.nodes if one.ip == host)
+        return next(node for node in self._site.nodes if node.ip == host)
 
     async def _exchange(
         self, kind: str, request_id: str, deadline_ms: int, key: str
-    ) -> _Answer:
+    ) -> _Response:
         assert self._streams is not None
         reader, writer = self._streams
-        subject = self._site.chance.randrange(8)
+        prefix = self._site.rng.randrange(8)
         method, body = ('GET', b'') if kind == 'app' else ('POST', b'body')
         writer.write(
             (
@@ -134,22 +139,22 @@
                 f'Authorization: Bearer {key}\r\n'
                 f'Attempt-Id: {request_id}\r\n'
                 f'Deadline-Ms: {deadline_ms}\r\n'
-                f'Prompt-Prefix: a1:500,b{subject}:300,c{subject}:20\r\n'
+                f'Prompt-Prefix: a1:500,b{prefix}:300,c{prefix}:20\r\n'
                 f'Content-Length: {len(body)}\r\n\r\n'
             ).encode()
             + body
         )
-        return await _read(reader)
+        return await _read_response(reader)
 
 
-async def _read(reader: asyncio.StreamReader) -> _Answer:
+async def _read_response(reader: asyncio.StreamReader) -> _Response:
     head = (await reader.readuntil(b'\r\n\r\n')).decode()
-    line, *rest = head.strip().split('\r\n')
-    headers = dict(one.split(': ', 1) for one in rest)
-    status = int(line.split()[1])
+    status_line, *header_lines = head.strip().split('\r\n')
+    headers = dict(header_line.split(': ', 1) for header_line in header_lines)
+    status = int(status_line.split()[1])
     if 'Content-Length' in headers:
         body = await reader.readexactly(int(headers['Content-Length']))
-        return _Answer(status, headers, body, True)
+        return _Response(status, headers, body, True)
     body = b''
     try:
         while size := int(await reader.readuntil(b'\r\n'), 16):
@@ -157,34 +162,38 @@
             await reader.readexactly(2)
         await reader.readexactly(2)
     except (asyncio.IncompleteReadError, OSError):
-        return _Answer(status, headers, body, False)
-    return _Answer(status, headers, body, True)
+        return _Response(status, headers, body, False)
+    return _Response(status, headers, body, True)
 
 
-def _problem(kind: str, request_id: str, answer: _Answer) -> str:
-    """Return what is wrong with an answer, or ``''``."""
-    if not answer.status:
+def _find_problem(kind: str, request_id: str, response: _Response) -> str:
+    """Return the defect of a response, or ``''``."""
+    if not response.status:
         return ''
-    signature = answer.headers.get('Response-Signature', '')
+    signature = response.headers.get('Response-Signature', '')
     instance, _, signed = signature.partition('.')
     if signature and signed != request_id:
-        return f'the answer to {signed} came'
+        return f'the response belongs to {signed}'
     if not signature:
-        return 'a success without a digest' if answer.status == 200 else ''
-    if answer.status == 200 and kind in ('chat', 'talk'):
-        return _stream_problem(request_id, answer)
-    if answer.body != backend.body_of(request_id, instance):
-        return 'the body is not the whole body'
+        return (
+            'a 200 response without a signature'
+            if response.status == 200
+            else ''
+        )
+    if response.status == 200 and kind in ('chat', 'talk'):
+        return _find_stream_problem(request_id, response)
+    if response.body != backend.body_of(request_id, instance):
+        return 'the body differs from the expected body'
     return ''
 
 
-def _stream_problem(request_id: str, answer: _Answer) -> str:
+def _find_stream_problem(request_id: str, response: _Response) -> str:
     numbers = range(1, backend.EVENTS + 1)
-    wanted = b''.join(
+    expected = b''.join(
         backend.event_of(request_id, number) for number in numbers
     )
-    if answer.whole and answer.body != wanted:
-        return 'a stream that looks complete is not'
-    if not wanted.startswith(answer.body):
-        return 'events are missing, or come twice'
+    if response.complete and response.body != expected:
+        return 'the stream ended normally, but is incomplete'
+    if not expected.startswith(response.body):
+        return 'events are missing or repeated'
     return ''
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,6 +1,6 @@
-"""The promises, checked against what was seen.
+"""Checks of the invariants against the records of a soak.
 
-Each check is a function under :func:`promise` that yields a sentence for
+Each check is a function under :func:`invariant` that yields a message for
 each violation.
 """
 
@@ -10,22 +10,18 @@
 
 from soak import records as soak_records
 
-# Of the platforms' pages, in seconds: how long a configuration may take to
-# be in force, and a key that was taken away to die.
-_IN_FORCE_S = 2.0
-_REVOKED_S = 5.0
-# A loop of ours that is busy hands out times a little late.
-_SLACK_S = 0.5
-# Before the list says it, a disturbance delays what a gateway knows.
-_LAG_S = 6.0
-# After its deadline a caller is owed a final answer by then; the nodes of a
-# busy machine are slower than those of the platforms.
-_LATE_S = 2.0
-# How often what ended three instances may reach others afterwards.
-_ENDS_BARRED = 3
-_MOST_AFTER = 3
-_NOT_RUN = (408, 421, 429, 503)
-_SERVED_SHARE = 0.9  # at least, once everything is calm again
+# Limits until a configuration is in force and until a removed key is rejected.
+_PROPAGATION_LIMIT_S = 2.0
+_KEY_REVOCATION_LIMIT_S = 5.0
+_CLOCK_TOLERANCE_S = 0.5
+# A disturbance this long before an event may delay what a gateway knows.
+_KNOWLEDGE_DELAY_S = 6.0
+# From the deadline of a request until the caller must have a final response.
+_DEADLINE_TOLERANCE_S = 2.0
+_CRASHES_BEFORE_BLOCK = 3  # after which the request has to be refused
+_MAX_EXECUTIONS_AFTER_BLOCK = 3
+_NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+_MIN_SERVED_SHARE = 0.9  # of the requests sent after the recovery
 
 Check = collections.abc.Callable[
     [soak_records.Records], collections.abc.Iterator[str]
@@ -33,101 +29,116 @@
 _CHECKS: list[Check] = []
 
 
-def promise(check: Check) -> Check:
-    """Enter a check."""
+def invariant(check: Check) -> Check:
+    """Register the check of an invariant."""
     _CHECKS.append(check)
     return check
 
 
-def violations(found: soak_records.Records) -> list[str]:
-    """Return a sentence for each broken promise."""
-    broken = list(found.notes)
+def violations(records: soak_records.Records) -> list[str]:
+    """Return a message for each violation, prefixed with its check."""
+    messages = list(records.violations)
     for check in _CHECKS:
-        broken += [f'{check.__name__}: {text}' for text in check(found)]
-    return broken
+        messages += [f'{check.__name__}: {text}' for text in check(records)]
+    return messages
 
 
-@promise
-def answers_are_whole(
-    found: soak_records.Records,
+@invariant
+def responses_are_complete(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for one in found.ended:
-        if one.problem:
-            yield f'{one.request_id} ({one.kind}): {one.problem}'
+    for result in records.results:
+        if result.problem:
+            yield f'{result.request_id} ({result.kind}): {result.problem}'
 
 
-@promise
-def what_must_not_repeat_runs_once(
-    found: soak_records.Records,
+@invariant
+def non_repeatable_requests_execute_once(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for one in found.ended:
-        runs = found.runs_of(one.request_id)
-        if one.kind in ('file', 'talk') and len(runs) > 1:
-            yield f'{one.request_id} ({one.kind}) ran {len(runs)} times'
-
-
-@promise
-def not_run_is_true(
-    found: soak_records.Records,
+    for result in records.results:
+        executions = records.executions_of(result.request_id)
+        if result.kind in ('file', 'talk') and len(executions) > 1:
+            yield (
+                f'{result.request_id} ({result.kind}) was executed '
+                f'{len(executions)} times'
+            )
+
+
+@invariant
+def not_executed_status_is_true(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for one in found.ended:
-        if one.status in _NOT_RUN and found.runs_of(one.request_id):
-            yield f'{one.request_id} got {one.status}, and has run'
+    for result in records.results:
+        if result.status in _NOT_EXECUTED_STATUSES and records.executions_of(
+            result.request_id
+        ):
+            yield f'{result.request_id} got {result.status}, but was executed'
 
 
-@promise
-def only_what_was_sent_runs(
-    found: soak_records.Records,
+@invariant
+def only_sent_requests_execute(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for request_id in found.runs:
-        if request_id not in found.asked:
-            yield f'{request_id} ran, and no caller sent it'
+    for request_id in records.executions:
+        if request_id not in records.sent_request_ids:
+            yield f'{request_id} was executed, but never sent'
 
 
-@promise
-def requests_end_in_time(
-    found: soak_records.Records,
+@invariant
+def requests_meet_their_deadline(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for one in found.ended:
-        until = one.sent + one.took_s
-        late = one.took_s > _LATE_S + _deadline_s(one)
-        if late and not found.is_disturbed(one.sent, until, one.node):
-            yield f'{one.request_id} ended after {one.took_s:.1f} s'
+    for result in records.results:
+        ended_at = result.sent_at + result.duration_s
+        is_late = result.duration_s > _DEADLINE_TOLERANCE_S + _deadline_s(
+            result
+        )
+        if is_late and not records.is_disturbed(
+            result.sent_at, ended_at, result.node
+        ):
+            yield f'{result.request_id} took {result.duration_s:.1f} s'
 
 
-def _deadline_s(one: soak_records.Ended) -> float:
-    return float(one.request_id.rpartition('-')[2]) / 1000
+def _deadline_s(result: soak_records.RequestResult) -> float:
+    return float(result.request_id.rpartition('-')[2]) / 1000
 
 
-@promise
-def a_revoked_key_dies(
-    found: soak_records.Records,
+@invariant
+def revoked_keys_are_rejected(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    dead: dict[str, float] = {}
-    newest: soak_records.Accepted | None = None
-    for accepted in found.accepted:
+    revoked_at: dict[str, float] = {}
+    newest: soak_records.AcceptedConfiguration | None = None
+    for accepted in records.accepted:
         if newest is not None and accepted.version < newest.version:
             continue
         for key in newest.keys - accepted.keys if newest else ():
-            dead.setdefault(key, accepted.at + _REVOKED_S + _SLACK_S)
+            revoked_at.setdefault(
+                key, accepted.at + _KEY_REVOCATION_LIMIT_S + _CLOCK_TOLERANCE_S
+            )
         newest = accepted
-    for one in found.ended:
-        if one.sent > dead.get(one.key, float('inf')):
-            if found.runs_of(one.request_id):
-                yield f'{one.request_id} ran with the revoked key {one.key}'
+    for result in records.results:
+        if result.sent_at > revoked_at.get(result.key, float('inf')):
+            if records.executions_of(result.request_id):
+                yield (
+                    f'{result.request_id} was executed with the revoked key '
+                    f'{result.key}'
+                )
 
 
-@promise
-def a_configuration_never_reverts(
-    found: soak_records.Records,
+@invariant
+def configuration_never_reverts(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for at, node, text in found.reads:
+    for time, node, text in records.configuration_reads:
         version = json.loads(text)['version']
         newest = max(
             (
                 accepted.version
-                for accepted in found.accepted
-                if accepted.at < at - _IN_FORCE_S - _SLACK_S
+                for accepted in records.accepted
+                if accepted.at
+                < time - _PROPAGATION_LIMIT_S - _CLOCK_TOLERANCE_S
             ),
             default=0,
         )
@@ -135,81 +146,106 @@
             yield f'{node} read {version} after {newest} was acknowledged'
 
 
-@promise
-def what_was_acknowledged_is_there(
-    found: soak_records.Records,
+@invariant
+def acknowledged_configuration_is_kept(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    newest = max((one.version for one in found.accepted), default=0)
-    if found.final_read is None:
-        yield 'the configuration cannot be read at the end'
+    newest = max(
+        (accepted.version for accepted in records.accepted), default=0
+    )
+    if records.final_configuration is None:
+        yield 'no node returns the configuration after the faults'
         return
-    version = json.loads(found.final_read)['version']
+    version = json.loads(records.final_configuration)['version']
     if version < newest:
-        yield f'version {newest} was acknowledged, {version} is there'
-    if found.final_read not in found.sent[version]:
-        yield f'version {version} is not what was sent under its number'
+        yield f'version {newest} was acknowledged, but {version} is in force'
+    if records.final_configuration not in records.sent_configurations[version]:
+        yield f'version {version} differs from the one that was sent'
 
 
-@promise
-def an_instance_that_is_gone_gets_nothing(
-    found: soak_records.Records,
+@invariant
+def removed_instances_get_no_requests(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    gone = dict(found.gone)
-    for runs in found.runs.values():
-        for run in runs:
-            since = gone.get(run.instance, float('inf'))
-            calm = not found.is_disturbed(since - _LAG_S, run.at)
-            if run.at > since and calm:
-                yield f'{run.request_id} ran on {run.instance}, which was gone'
-
-
-@promise
-def what_instances_ask_for_is_kept(
-    found: soak_records.Records,
+    removal_times = dict(records.removed_instances)
+    for executions in records.executions.values():
+        for execution in executions:
+            removed_at = removal_times.get(execution.instance, float('inf'))
+            undisturbed = not records.is_disturbed(
+                removed_at - _KNOWLEDGE_DELAY_S, execution.at
+            )
+            if execution.at > removed_at and undisturbed:
+                yield (
+                    f'{execution.request_id} was executed on '
+                    f'{execution.instance}, which was removed'
+                )
+
+
+@invariant
+def backoff_windows_are_respected(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    nodes = {one.request_id: one.node for one in found.ended}
-    wishes = collections.defaultdict(list)
-    for wish in found.wishes:
-        node = nodes.get(wish.request_id)
+    nodes = {result.request_id: result.node for result in records.results}
+    windows = collections.defaultdict(list)
+    for window in records.backoff_windows:
+        node = nodes.get(window.request_id)
         if node is not None:
-            wishes[wish.instance, node].append(wish)
-    for arrival in found.arrivals:
+            windows[window.instance, node].append(window)
+    for arrival in records.arrivals:
         node = nodes.get(arrival.request_id)
-        for wish in wishes.get((arrival.instance, node), ()):
-            after_s = arrival.at - wish.at
-            calm = not found.is_disturbed(wish.at, arrival.at, node)
-            if wish.since_s + _SLACK_S < after_s < wish.until_s and calm:
+        for window in windows.get((arrival.instance, node), ()):
+            after_s = arrival.at - window.at
+            undisturbed = not records.is_disturbed(window.at, arrival.at, node)
+            if (
+                window.start_s + _CLOCK_TOLERANCE_S < after_s < window.end_s
+                and undisturbed
+            ):
                 yield (
                     f'{arrival.request_id} reached {arrival.instance} from '
-                    f'{node} {after_s:.1f} s after it had asked for nothing'
+                    f'{node} {after_s:.1f} s after it asked for no requests'
                 )
                 break
 
 
-@promise
-def what_ends_instances_is_refused(
-    found: soak_records.Records,
+@invariant
+def requests_that_crash_instances_are_blocked(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    if len(found.ends) < _ENDS_BARRED:
+    if len(records.crash_times) < _CRASHES_BEFORE_BLOCK:
         return
-    known = sorted(found.ends)[_ENDS_BARRED - 1] + _LAG_S
-    later = [
-        run.at
-        for request_id, runs in found.runs.items()
-        for run in runs
+    blocked_at = (
+        sorted(records.crash_times)[_CRASHES_BEFORE_BLOCK - 1]
+        + _KNOWLEDGE_DELAY_S
+    )
+    late_executions = [
+        execution.at
+        for request_id, executions in records.executions.items()
+        for execution in executions
         if request_id.startswith('ending')
-        and run.at > known
-        and not found.is_disturbed(run.at - _LAG_S, run.at)
+        and execution.at > blocked_at
+        and not records.is_disturbed(
+            execution.at - _KNOWLEDGE_DELAY_S, execution.at
+        )
     ]
-    if len(later) > _MOST_AFTER:
-        yield f'{len(later)} runs after three ends; {len(found.ends)} ends'
+    if len(late_executions) > _MAX_EXECUTIONS_AFTER_BLOCK:
+        yield (
+            f'{len(late_executions)} executions after the third crash; '
+            f'{len(records.crash_times)} crashes'
+        )
 
 
-@promise
-def service_comes_back(
-    found: soak_records.Records,
+@invariant
+def service_recovers(
+    records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    late = [one for one in found.ended if one.sent > found.calm_since]
-    served = sum(one.status == 200 for one in late)
-    if not late or served < _SERVED_SHARE * len(late):
-        yield f'{served} of {len(late)} requests are served after the faults'
+    results = [
+        result
+        for result in records.results
+        if result.sent_at > records.recovery_deadline
+    ]
+    served = sum(result.status == 200 for result in results)
+    if not results or served < _MIN_SERVED_SHARE * len(results):
+        yield (
+            f'{served} of {len(results)} requests were served after the '
+            'recovery'
+        )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,7 @@
-"""What is done to the processes, from outside.
+"""Faults injected into the processes and instances of a soak.
 
 Each fault is a function under :func:`fault`; it disturbs something for a
-while and mends it again.
+limited time and then restores it.
 """
 
 import asyncio
@@ -16,105 +16,107 @@
 from soak import records as soak_records
 from soak import site as soak_site
 
-# How long after its end a disturbance still counts, in seconds: a platform's
-# page says 3; processes on a busy machine are slower.
-_AFTER_S = 5.0
-_DRAIN_S = 3.0
+# How long after its end a disturbance still excuses violations.
+_AFTERMATH_S = 5.0
+_DRAIN_S = 3.0  # from "draining" until no request may arrive
 
 Fault = collections.abc.Callable[
     [soak_site.Site, soak_operator.Operator, random.Random],
     collections.abc.Awaitable[None],
 ]
 FAULTS: dict[str, Fault] = {}
-# The first seed that draws a fault. Lower ones were played before it was
-# added, and keep the plans that they had.
-_SINCE: dict[str, int] = {}
-_SEEDS = 3  # instances that the platform names to each
-_RESTS_S = (0.5, 2.0, 4.0)
-# How often the request that ends instances comes, in seconds, and how long.
-_COMES_S = (0.1, 0.5)
-_COMES_FOR_S = (4.0, 9.0)
-# From the end of an instance until another is there in its place.
-_REPLACED_S = 1.0
+# The first seed that draws each fault; lower seeds keep their plans.
+_FIRST_SEEDS: dict[str, int] = {}
+_SEED_NODES = 3  # named in the settings of each node
+_RETRY_AFTER_CHOICES_S = (0.5, 2.0, 4.0)
+# Ranges of the interval and the total time of requests that crash instances.
+_FATAL_REQUEST_INTERVAL_S = (0.1, 0.5)
+_FATAL_REQUESTS_DURATION_S = (4.0, 9.0)
+# From the crash of an instance until it is replaced.
+_REPLACEMENT_DELAY_S = 1.0
 
 
 def fault(function: Fault) -> Fault:
-    """Enter a fault that every seed may draw."""
-    return fault_since(0)(function)
+    """Register a fault that every seed may draw."""
+    return fault_from_seed(0)(function)
 
 
-def fault_since(seed: int) -> collections.abc.Callable[[Fault], Fault]:
-    """Enter a fault that a seed and those above it may draw."""
+def fault_from_seed(seed: int) -> collections.abc.Callable[[Fault], Fault]:
+    """Register a fault that only this and higher seeds may draw."""
 
-    def decorate(function: Fault) -> Fault:
+    def register(function: Fault) -> Fault:
         FAULTS[function.__name__] = function
-        _SINCE[function.__name__] = seed
+        _FIRST_SEEDS[function.__name__] = seed
         return function
 
-    return decorate
+    return register
 
 
-def drawn_by(seed: int) -> list[str]:
-    """Return the names of the faults that a seed draws from."""
-    return [name for name in sorted(FAULTS) if seed >= _SINCE[name]]
+def faults_for_seed(seed: int) -> list[str]:
+    """Return the sorted names of the faults that a seed may draw."""
+    return [name for name in sorted(FAULTS) if seed >= _FIRST_SEEDS[name]]
 
 
 @contextlib.contextmanager
-def _disturbed(
+def _disturbing(
     site: soak_site.Site, *names: str
 ) -> collections.abc.Iterator[None]:
     loop = asyncio.get_running_loop()
-    spans = [soak_records.Span(name, loop.time()) for name in names]
-    site.found.disturbed += spans
+    disturbances = [
+        soak_records.Disturbance(name, loop.time()) for name in names
+    ]
+    site.records.disturbances += disturbances
     try:
         yield
     finally:
-        for span in spans:
-            span.until = loop.time() + _AFTER_S
+        for disturbance in disturbances:
+            disturbance.end = loop.time() + _AFTERMATH_S
 
 
-def _pick(
-    site: soak_site.Site, among: list[platform.Node], chance: random.Random
+def _choose_free_node(
+    site: soak_site.Site, candidates: list[platform.Node], rng: random.Random
 ) -> platform.Node | None:
-    """Return a node whose process runs and that no other fault has."""
+    """Return a running node that no other fault has reserved, if any."""
     free = [
         node
-        for node in among
-        if not site.busy.get(node.name)
+        for node in candidates
+        if not site.reserved.get(node.name)
         and node.process is not None
         and node.process.poll() is None
     ]
-    return chance.choice(free) if free else None
+    return rng.choice(free) if free else None
 
 
 @contextlib.contextmanager
-def _held(
+def _reserved(
     site: soak_site.Site, *nodes: platform.Node
 ) -> collections.abc.Iterator[None]:
-    """Keep other faults off some nodes."""
+    """Reserve nodes for one fault and record them as disturbed."""
     for node in nodes:
-        site.busy[node.name] = True
+        site.reserved[node.name] = True
     try:
-        with _disturbed(site, *(node.name for node in nodes)):
+        with _disturbing(site, *(node.name for node in nodes)):
             yield
     finally:
         for node in nodes:
-            site.busy[node.name] = False
+            site.reserved[node.name] = False
 
 
-async def _pause(chance: random.Random, least: float, most: float) -> None:
-    await asyncio.sleep(chance.uniform(least, most))
+async def _sleep_random(
+    rng: random.Random, min_s: float, max_s: float
+) -> None:
+    await asyncio.sleep(rng.uniform(min_s, max_s))
 
 
-async def _kill_together(
-    site: soak_site.Site, nodes: list[platform.Node], chance: random.Random
+async def _kill_simultaneously(
+    site: soak_site.Site, nodes: list[platform.Node], rng: random.Random
 ) -> None:
-    if any(site.busy.get(node.name) for node in nodes):
+    if any(site.reserved.get(node.name) for node in nodes):
         return
-    with _held(site, *nodes):
+    with _reserved(site, *nodes):
         for node in nodes:
             site.kill(node)
-        await _pause(chance, 0.1, 1.0)
+        await _sleep_random(rng, 0.1, 1.0)
         for node in nodes:
             site.restart(node)
 
@@ -123,15 +125,15 @@
 async def kill(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One process is killed and started again."""
-    node = _pick(site, site.nodes, chance)
+    """Kill one process and restart it."""
+    node = _choose_free_node(site, site.nodes, rng)
     if node is None:
         return
-    with _held(site, node):
+    with _reserved(site, node):
         site.kill(node)
-        await _pause(chance, 0.1, 3.0)
+        await _sleep_random(rng, 0.1, 3.0)
         site.restart(node)
 
 
@@ -139,25 +141,25 @@
 async def kill_core(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """All processes with a disk are killed at the same moment."""
-    await _kill_together(site, site.core, chance)
+    """Kill all processes that have a disk at the same time."""
+    await _kill_simultaneously(site, site.core, rng)
 
 
 @fault
 async def freeze(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One process stands still and wakes again."""
-    node = _pick(site, site.nodes, chance)
+    """Suspend one process with SIGSTOP and resume it."""
+    node = _choose_free_node(site, site.nodes, rng)
     if node is None:
         return
-    with _held(site, node):
+    with _reserved(site, node):
         site.send_signal(node, signal.SIGSTOP)
-        await _pause(chance, 0.3, 6.0)
+        await _sleep_random(rng, 0.3, 6.0)
         site.send_signal(node, signal.SIGCONT)
 
 
@@ -165,13 +167,13 @@
 async def terminate(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One process is stopped in order and started again."""
-    node = _pick(site, site.nodes, chance)
+    """Stop one process with SIGTERM and restart it."""
+    node = _choose_free_node(site, site.nodes, rng)
     if node is None:
         return
-    with _held(site, node):
+    with _reserved(site, node):
         await site.terminate(node)
         site.restart(node)
 
@@ -180,48 +182,48 @@
 async def reload(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Some processes get SIGHUP."""
+    """Send SIGHUP to a random half of the processes."""
     for node in site.nodes:
-        if chance.random() < 0.5 and not site.busy.get(node.name):
+        if rng.random() < 0.5 and not site.reserved.get(node.name):
             site.send_signal(node, signal.SIGHUP)
 
 
-@fault_since(1000)
+@fault_from_seed(1000)
 async def kill_all(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """All processes are killed at the same moment."""
-    await _kill_together(site, site.nodes, chance)
+    """Kill all processes at the same time."""
+    await _kill_simultaneously(site, site.nodes, rng)
 
 
-@fault_since(1000)
+@fault_from_seed(1000)
 async def other_seeds(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """The settings name any instances, also such as have no disk."""
-    site.set_seeds(chance.sample(site.nodes, _SEEDS))
+    """Name random nodes as seeds, including nodes without a disk."""
+    site.set_seeds(rng.sample(site.nodes, _SEED_NODES))
 
 
 @fault
 async def lose_disk(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One process is killed and comes back with an empty disk, once."""
-    node = _pick(site, site.core, chance)
+    """Kill one process and restart it with an empty disk, once per soak."""
+    node = _choose_free_node(site, site.core, rng)
     if node is None or site.disk_lost:
         return
-    with _held(site, node):
+    with _reserved(site, node):
         site.kill(node)
         site.lose_disk(node)
-        await _pause(chance, 0.1, 2.0)
+        await _sleep_random(rng, 0.1, 2.0)
         site.restart(node)
 
 
@@ -229,13 +231,15 @@
 async def silence(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Nothing passes to, from, or to and from one instance."""
-    relay = chance.choice(site.instances).relay
-    there, back = chance.choice([(True, True), (True, False), (False, True)])
-    relay.cut(to_target=there, from_target=back)
-    await _pause(chance, 0.5, 4.0)
+    """Drop all traffic to an instance, from it, or both."""
+    relay = rng.choice(site.instances).relay
+    to_target, from_target = rng.choice(
+        [(True, True), (True, False), (False, True)]
+    )
+    relay.cut(to_target=to_target, from_target=from_target)
+    await _sleep_random(rng, 0.5, 4.0)
     relay.heal()
 
 
@@ -243,12 +247,12 @@
 async def delay(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Everything to and from one instance is late."""
-    relay = chance.choice(site.instances).relay
-    relay.delay_s = chance.uniform(0.05, 0.5)
-    await _pause(chance, 1.0, 4.0)
+    """Delay all traffic to and from one instance."""
+    relay = rng.choice(site.instances).relay
+    relay.delay_s = rng.uniform(0.05, 0.5)
+    await _sleep_random(rng, 1.0, 4.0)
     relay.delay_s = 0.0
 
 
@@ -256,43 +260,47 @@
 async def reset(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """The connections to one instance are closed, several times."""
-    relay = chance.choice(site.instances).relay
-    for _ in range(chance.randint(1, 5)):
+    """Close the connections to one instance several times."""
+    relay = rng.choice(site.instances).relay
+    for _ in range(rng.randint(1, 5)):
         relay.close_connections()
-        await _pause(chance, 0.05, 0.5)
+        await _sleep_random(rng, 0.05, 0.5)
 
 
 @fault
 async def mood(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One instance fails some requests in one way."""
-    instance = chance.choice(site.instances)
-    instance.mood = chance.choice(backend.MOODS)
-    await _pause(chance, 1.0, 5.0)
-    instance.mood = ''
+    """Make one instance fail its requests in one failure mode."""
+    instance = rng.choice(site.instances)
+    instance.failure_mode = rng.choice(backend.FAILURE_MODES)
+    await _sleep_random(rng, 1.0, 5.0)
+    instance.failure_mode = ''
 
 
 @fault
 async def replace_instance(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One instance drains and goes; another one comes before."""
-    ready = [one for one in site.instances if one.state == 'ready']
-    instance = chance.choice(ready)
+    """Add an instance, then drain and remove another."""
+    ready = [
+        candidate for candidate in site.instances if candidate.state == 'ready'
+    ]
+    instance = rng.choice(ready)
     await site.add_instance(instance.service)
-    await _pause(chance, 0.1, 1.0)
+    await _sleep_random(rng, 0.1, 1.0)
     instance.state = 'draining'
-    site.tell()
-    at = asyncio.get_running_loop().time()
-    site.found.gone.append((instance.name, at + _DRAIN_S))
+    site.publish_list()
+    drain_start = asyncio.get_running_loop().time()
+    site.records.removed_instances.append(
+        (instance.name, drain_start + _DRAIN_S)
+    )
     await asyncio.sleep(_DRAIN_S + 1.0)
     await site.remove_instance(instance)
 
@@ -301,12 +309,12 @@
 async def crash_instance(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One instance is gone at once; the list says so later."""
-    instance = chance.choice(site.instances)
+    """Stop one instance without notice and remove it from the list later."""
+    instance = rng.choice(site.instances)
     await instance.stop()
-    await _pause(chance, 0.5, 3.0)
+    await _sleep_random(rng, 0.5, 3.0)
     await site.remove_instance(instance)
     await site.add_instance(instance.service)
 
@@ -315,12 +323,12 @@
 async def list_fails(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """The platform's list answers with errors."""
+    """Make the platform's instance list return errors."""
     site.list_available = False
-    with _disturbed(site, *(node.name for node in site.nodes)):
-        await _pause(chance, 0.5, 4.0)
+    with _disturbing(site, *(node.name for node in site.nodes)):
+        await _sleep_random(rng, 0.5, 4.0)
     site.list_available = True
 
 
@@ -328,10 +336,10 @@
 async def storm(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Configurations come in quick succession."""
-    for _ in range(chance.randint(3, 15)):
+    """Send configurations in quick succession."""
+    for _ in range(rng.randint(3, 15)):
         await operator.change()
 
 
@@ -339,77 +347,77 @@
 async def race(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Two operators send the same version."""
-    await operator.race()
+    """Send two configurations with the same version concurrently."""
+    await operator.send_conflicting()
 
 
 @fault
 async def invalid(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """A configuration that cannot be right is sent."""
+    """Send a configuration that fails validation."""
     await operator.send_invalid()
 
 
-@fault_since(2000)
+@fault_from_seed(2000)
 async def ending_request(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """One request ends each instance that runs it, and comes again."""
+    """Repeat a request that crashes every instance that executes it."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + chance.uniform(*_COMES_FOR_S)
+    until = loop.time() + rng.uniform(*_FATAL_REQUESTS_DURATION_S)
     async with asyncio.TaskGroup() as group:
         while loop.time() < until:
-            node = chance.choice(site.nodes)
-            group.create_task(site.send_ending(node))
-            await _pause(chance, *_COMES_S)
-            for instance in site.take_ended():
-                group.create_task(_replace_ended(site, instance))
-    for instance in site.take_ended():
-        await _replace_ended(site, instance)
+            node = rng.choice(site.nodes)
+            group.create_task(site.send_fatal_request(node))
+            await _sleep_random(rng, *_FATAL_REQUEST_INTERVAL_S)
+            for instance in site.take_crashed():
+                group.create_task(_replace_crashed(site, instance))
+    for instance in site.take_crashed():
+        await _replace_crashed(site, instance)
 
 
-async def _replace_ended(
+async def _replace_crashed(
     site: soak_site.Site, instance: backend.Instance
 ) -> None:
-    await asyncio.sleep(_REPLACED_S)
+    await asyncio.sleep(_REPLACEMENT_DELAY_S)
     await site.remove_instance(instance)
     await site.add_instance(instance.service)
 
 
-@fault_since(3000)
+@fault_from_seed(3000)
 async def resting(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Some instances turn all away and ask for rest."""
-    count = chance.randint(1, len(site.instances))
-    chosen = chance.sample(site.instances, count)
-    asked_s = chance.choice(_RESTS_S)
-    with _disturbed(site, *(one.name for one in chosen)):
-        for one in chosen:
-            one.rest_s = asked_s
-        await _pause(chance, 1.0, 5.0)
-        for one in chosen:
-            one.rest_s = 0.0
-
-
-@fault_since(3000)
+    """Make some instances reject all requests with ``Retry-After``."""
+    count = rng.randint(1, len(site.instances))
+    chosen = rng.sample(site.instances, count)
+    retry_after_s = rng.choice(_RETRY_AFTER_CHOICES_S)
+    with _disturbing(site, *(instance.name for instance in chosen)):
+        for instance in chosen:
+            instance.retry_after_s = retry_after_s
+        await _sleep_random(rng, 1.0, 5.0)
+        for instance in chosen:
+            instance.retry_after_s = 0.0
+
+
+@fault_from_seed(3000)
 async def leaving_by_word(
     site: soak_site.Site,
     operator: soak_operator.Operator,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """An instance says that it leaves; the list says so much later."""
-    instance = chance.choice(site.instances)
+    """Announce the shutdown of an instance long before the list shows it."""
+    instance = rng.choice(site.instances)
     await site.add_instance(instance.service)
-    instance.leaves = True
-    await _pause(chance, 3.5, 6.0)
+    instance.announces_shutdown = True
+    await _sleep_random(rng, 3.5, 6.0)
     await site.remove_instance(instance)
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers, backend servers and operators saw, and when."""
+"""Events recorded during a soak by callers, instances and operators."""
 
 import collections
 import typing
@@ -7,8 +7,8 @@
 
 
 @attrs.frozen
-class Run:
-    """A request that an instance of a backend server began to work on."""
+class RequestEvent:
+    """The arrival or the execution of a request at an instance."""
 
     request_id: str
     instance: str
@@ -16,43 +16,45 @@
 
 
 @attrs.frozen
-class Wish:
-    """What an instance asked for in its answer to a request.
+class BackoffWindow:
+    """A period in which an instance has asked for no requests.
 
-    :ivar since_s: from the answer until nothing may come any more
-    :ivar until_s: from the answer until something may come again
+    :ivar request_id: the request whose response asked for it
+    :ivar start_s: seconds from the response to the start of the period
+    :ivar end_s: seconds from the response to its end
     """
 
     request_id: str
     instance: str
     at: float
-    since_s: float
-    until_s: float
+    start_s: float
+    end_s: float
 
 
 @attrs.frozen
-class Ended:
-    """How a caller's request ended.
+class RequestResult:
+    """The result of a caller's request.
 
-    :ivar status: 0 if the connection ended without an answer
-    :ivar problem: what was wrong with the answer, or ``''``
+    :ivar sent_at: time of sending
+    :ivar status: 0 if the connection ended without a response
+    :ivar problem: the defect of the response, or ``''``
     """
 
     request_id: str
     kind: str
     key: str
     node: str
-    sent: float
-    took_s: float
+    sent_at: float
+    duration_s: float
     status: int
     problem: str
 
 
 @attrs.frozen
-class Accepted:
-    """A configuration that was acknowledged.
+class AcceptedConfiguration:
+    """An acknowledged configuration.
 
-    :ivar keys: the API keys that it holds
+    :ivar keys: the API keys in it
     """
 
     version: int
@@ -61,47 +63,54 @@
 
 
 @attrs.define
-class Span:
-    """A time in which a node or a backend server was disturbed."""
+class Disturbance:
+    """A period in which a fault affected a node or an instance."""
 
     name: str
-    since: float
-    until: float = float('inf')
+    start: float
+    end: float = float('inf')
 
 
 class Records:
-    """Everything that the checks look at; times are of the soak's clock."""
+    """The input of the checks; times are of the event loop's clock."""
 
     def __init__(self) -> None:
-        self.runs: dict[str, list[Run]] = collections.defaultdict(list)
-        self.arrivals: list[Run] = []
-        self.wishes: list[Wish] = []
-        self.asked: set[str] = set()
-        self.ended: list[Ended] = []
-        self.accepted: list[Accepted] = []
-        self.sent: dict[int, list[bytes]] = collections.defaultdict(list)
-        self.reads: list[tuple[float, str, bytes]] = []
-        self.final_read: bytes | None = None
-        self.gone: list[tuple[str, float]] = []
-        self.ends: list[float] = []  # of instances, under one request
-        self.disturbed: list[Span] = []
-        self.notes: list[str] = []
-        self.calm_since = 0.0
+        self.executions: dict[str, list[RequestEvent]] = (
+            collections.defaultdict(list)
+        )
+        self.arrivals: list[RequestEvent] = []
+        self.backoff_windows: list[BackoffWindow] = []
+        self.sent_request_ids: set[str] = set()
+        self.results: list[RequestResult] = []
+        self.accepted: list[AcceptedConfiguration] = []
+        self.sent_configurations: dict[int, list[bytes]] = (
+            collections.defaultdict(list)
+        )
+        self.configuration_reads: list[tuple[float, str, bytes]] = []
+        self.final_configuration: bytes | None = None
+        self.removed_instances: list[tuple[str, float]] = []
+        self.crash_times: list[float] = []  # of instances, by fatal requests
+        self.disturbances: list[Disturbance] = []
+        self.violations: list[str] = []
+        self.recovery_deadline = 0.0
 
     def is_disturbed(
-        self, since: float, until: float, name: str | None = None
+        self, start: float, end: float, name: str | None = None
     ) -> bool:
-        """Whether a name, or anything, was disturbed between two times."""
+        """Return whether a fault overlapped a period.
+
+        :param name: of a node or an instance; ``None`` means any
+        """
         return any(
-            span.since < until and span.until > since
-            for span in self.disturbed
-            if name is None or span.name == name
+            disturbance.start < end and disturbance.end > start
+            for disturbance in self.disturbances
+            if name is None or disturbance.name == name
         )
 
-    def note(self, violation: str) -> None:
-        """Note a broken promise that was seen while the soak ran."""
-        self.notes.append(violation)
+    def add_violation(self, violation: str) -> None:
+        """Record a violation detected while the soak runs."""
+        self.violations.append(violation)
 
-    def runs_of(self, request_id: str) -> typing.Sequence[Run]:
-        """Return the runs of a request."""
-        return self.runs.get(request_id, ())
+    def executions_of(self, request_id: str) -> typing.Sequence[RequestEvent]:
+        """Return the executions of a request on all instances."""
+        return self.executions.get(request_id, ())
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of one soak, the backend servers and the platform's list."""
+"""The nodes, the instances and the platform's instance list of a soak."""
 
 import asyncio
 import pathlib
@@ -13,11 +13,10 @@
 
 HOST = 'yard.example'
 MAIN_KEY = 'key-main'
-_WITHOUT_DISK = 2
-# Longer than a node takes to end what it does after SIGTERM (7 s) and less
-# than a hang that must be seen.
-_STOP_S = 12.0
-# kind of request: path, route kind, resumable, service, attempts
+_DISKLESS_NODES = 2
+# Above the shutdown timeout of a node; a longer shutdown is a violation.
+_SHUTDOWN_LIMIT_S = 12.0
+# (path segment, route kind, resumable, service, maximum attempts)
 _ROUTES = (
     ('app', 'idempotent', False, 'plain', 2),
     ('file', 'non_idempotent', False, 'plain', 1),
@@ -28,36 +27,41 @@
 
 
 class Site(platform.Platform):
-    """Nodes with and without disks, and the instances behind them."""
+    """Runs the nodes of a soak and the instances behind them.
+
+    :ivar core: the nodes that have a disk
+    :ivar disk_lost: whether a node has already lost its disk
+    :ivar reserved: node names that a fault has reserved
+    """
 
     def __init__(
         self,
         folder: pathlib.Path,
-        found: soak_records.Records,
-        chance: random.Random,
+        records: soak_records.Records,
+        rng: random.Random,
     ) -> None:
         super().__init__(folder)
-        self.found = found
-        self.chance = chance
+        self.records = records
+        self.rng = rng
         self.core = list(self.nodes)
         self.nodes += [
             self.make_node(len(self.core) + 1 + number, disk=False)
-            for number in range(_WITHOUT_DISK)
+            for number in range(_DISKLESS_NODES)
         ]
         self.instances: list[backend.Instance] = []
         self.disk_lost = False
-        self.busy: dict[str, bool] = {}
-        self._count = 0
+        self.reserved: dict[str, bool] = {}
+        self._last_id = 0
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the nodes and the first instances."""
         await super().start()
         for service, count in (('plain', 2), ('model', 3)):
             for _ in range(count):
                 await self.add_instance(service)
 
     async def stop(self) -> None:
-        """End our own processes and servers."""
+        """Stop all nodes, also suspended ones, and all instances."""
         for node in self.nodes:
             if node.process is not None:
                 node.process.send_signal(signal.SIGCONT)
@@ -68,86 +72,92 @@
     # -- instances -------------------------------------------------------
 
     async def add_instance(self, service: str) -> backend.Instance:
-        """Start an instance and list it."""
-        self._count += 1
+        """Start an instance and add it to the platform's list."""
+        self._last_id += 1
         instance = backend.Instance(
-            f'i-{service}-{self._count}', service, self.found, self.chance
+            f'i-{service}-{self._last_id}', service, self.records, self.rng
         )
         await instance.start()
         self.instances.append(instance)
-        self.tell()
+        self.publish_list()
         return instance
 
     async def remove_instance(self, instance: backend.Instance) -> None:
-        """End an instance and take it off the list.
+        """Remove an instance from the platform's list and stop it.
 
-        Another fault may have ended it already.
+        Another fault may have removed it already.
         """
         if instance in self.instances:
             self.instances.remove(instance)
-        self.tell()
+        self.publish_list()
         await instance.stop()
 
-    def take_ended(self) -> list[backend.Instance]:
-        """Return the instances that a request has ended since."""
-        found = [one for one in self.instances if one.ended]
-        for one in found:
-            one.ended = False
-        return found
-
-    async def send_ending(self, node: platform.Node) -> None:
-        """Send the request that ends instances, under a new id."""
-        self._count += 1
-        request_id = f'ending-{self._count}-1500'
-        self.found.asked.add(request_id)
+    def take_crashed(self) -> list[backend.Instance]:
+        """Return the instances that crashed since the last call."""
+        crashed = [instance for instance in self.instances if instance.crashed]
+        for instance in crashed:
+            instance.crashed = False
+        return crashed
+
+    async def send_fatal_request(self, node: platform.Node) -> None:
+        """Send the request that crashes instances, under a new id."""
+        self._last_id += 1
+        request_id = f'ending-{self._last_id}-1500'
+        self.records.sent_request_ids.add(request_id)
         headers = {
             'Host': HOST,
             'Authorization': f'Bearer {MAIN_KEY}',
             'Attempt-Id': request_id,
             'Deadline-Ms': '1500',
         }
-        await self.request(node, 0, '/app/ending', backend.ENDING, headers)
+        await self.request(node, 0, '/app/ending', backend.FATAL_BODY, headers)
 
-    def tell(self) -> None:
-        """Bring the platform's list up to date."""
-        self.list_entries = [one.to_entry() for one in self.instances]
+    def publish_list(self) -> None:
+        """Update the platform's list from the current instances."""
+        self.list_entries = [
+            instance.to_entry() for instance in self.instances
+        ]
 
     # -- nodes -----------------------------------------------------------
 
     def kill(self, node: platform.Node) -> None:
-        """End a process at once."""
+        """Send SIGKILL to a node's process."""
         self.send_signal(node, signal.SIGKILL)
 
     def restart(self, node: platform.Node) -> None:
-        """Start a process that has ended."""
+        """Start a node whose process has ended."""
         self.launch(node)
 
     def lose_disk(self, node: platform.Node) -> None:
-        """Empty the data folder of a node whose process has ended."""
+        """Delete the data of a node whose process has ended."""
         assert node.data is not None
         self.disk_lost = True
         shutil.rmtree(node.data)
         node.data.mkdir()
 
     async def terminate(self, node: platform.Node) -> None:
-        """Send SIGTERM and wait for the end; note it if there is none."""
+        """Send SIGTERM and wait; record a violation if the process hangs."""
         assert node.process is not None
         process = node.process
         self.send_signal(node, signal.SIGTERM)
         loop = asyncio.get_running_loop()
-        until = loop.time() + _STOP_S
-        while process.poll() is None and loop.time() < until:
+        deadline = loop.time() + _SHUTDOWN_LIMIT_S
+        while process.poll() is None and loop.time() < deadline:
             await asyncio.sleep(0.05)
         if process.poll() is None:
-            self.found.note(f'{node.name} did not stop after SIGTERM')
+            self.records.add_violation(
+                f'{node.name} did not stop after SIGTERM'
+            )
             self.kill(node)
 
     # -- configuration ---------------------------------------------------
 
-    def configuration(self, version: int, salt: int) -> dict[str, typing.Any]:
-        """Return a valid configuration; its key is its version's own.
+    def make_configuration(
+        self, version: int, salt: int
+    ) -> dict[str, typing.Any]:
+        """Return a valid configuration with an API key of its version.
 
-        :param salt: makes the contents of one version differ
+        :param salt: distinguishes two contents of the same version
         """
         return {
             'version': version,
@@ -156,7 +166,7 @@
                     'name': f'r-{kind}',
                     'host': HOST,
                     'path_prefix': f'/{kind}/',
-                    'route_kind': semantics,
+                    'route_kind': route_kind,
                     'timeout_ms': 3000 + salt,
                     'target_latency_ms': 400,
                     'priority': 0,
@@ -167,7 +177,7 @@
                     'resumable': resumable,
                     'gap_target_ms': 300,
                 }
-                for kind, semantics, resumable, service, attempts in _ROUTES
+                for kind, route_kind, resumable, service, attempts in _ROUTES
             ],
             'services': [
                 {'name': 'plain', 'health_path': '/h', 'max_connections': 99},
