--- a/src/honeyport/settings/document.py
+++ b/src/honeyport/settings/document.py
@@ -1,8 +1,8 @@
-"""YAML documents read into attrs classes, with errors that name the line.
+"""Read YAML documents into attrs classes, with errors that name the line.
 
-A class says through :func:`field` what each field means and which values
-are right. Unknown fields, wrong types and wrong values are errors: file,
-line, field and what was expected.
+The classes declare their fields with :func:`fields.field`. Unknown fields,
+wrong types and invalid values are errors that give the file, the line, the
+field and the expected value.
 """
 
 import pathlib
@@ -14,23 +14,23 @@
 
 from honeyport import errors
 
-_SCALARS = {
+_TYPES_BY_TAG = {
     'tag:yaml.org,2002:str': str,
     'tag:yaml.org,2002:int': int,
     'tag:yaml.org,2002:float': float,
     'tag:yaml.org,2002:bool': bool,
     'tag:yaml.org,2002:null': type(None),
 }
-_WORDS = {str: 'text', int: 'a whole number', float: 'a number'}
+_TYPE_NAMES = {str: 'text', int: 'a whole number', float: 'a number'}
 
 T = typing.TypeVar('T')
 
 
 class Reader:
-    """Reads one document.
+    """Converts the nodes of a YAML document to values of attrs classes.
 
-    :param name: the file's name, for messages
-    :param error: the class of error to raise
+    :param name: name of the file, for messages
+    :param error: class of the errors that are raised
     """
 
     def __init__(self, name: str, error: type[errors.HoneyportError]) -> None:
@@ -38,7 +38,11 @@
         self._error = error
 
     def read(self, text: str, cls: type[T]) -> T:
-        """Return the document in ``text`` as an instance of ``cls``."""
+        """Return the document in ``text`` as an instance of ``cls``.
+
+        :raises errors.HoneyportError: of the class ``error``, if the
+            document is invalid
+        """
         try:
             node = yaml.compose(text, Loader=yaml.SafeLoader)
         except yaml.MarkedYAMLError as error:
@@ -54,10 +58,14 @@
     def fail(
         self, node: yaml.Node, path: str, expected: str
     ) -> typing.NoReturn:
-        """Raise the error for a node."""
+        """Raise the error for an invalid node.
+
+        :param path: path of the field in the document, such as ``a.b[0]``
+        :param expected: description of a valid value
+        """
         line = node.start_mark.line + 1
-        where = f'{path}: ' if path else ''
-        raise self._error(f'{self._name}:{line}: {where}expected {expected}')
+        prefix = f'{path}: ' if path else ''
+        raise self._error(f'{self._name}:{line}: {prefix}expected {expected}')
 
     def _value(
         self, node: yaml.Node, kind: typing.Any, path: str
@@ -79,20 +87,20 @@
             f.name: f for f in attrs.fields(typing.cast(typing.Any, cls))
         }
         for key, child in self._pairs(node, path):
-            where = f'{path}.{key}' if path else key
+            child_path = f'{path}.{key}' if path else key
             if key not in fields:
                 known = ', '.join(sorted(fields))
-                self.fail(child, where, f'one of the fields {known}')
-            value = self._value(child, fields[key].type, where)
+                self.fail(child, child_path, f'one of the fields {known}')
+            value = self._value(child, fields[key].type, child_path)
             check = fields[key].metadata.get('check')
             expected = check(value) if check and value is not None else None
             if expected:
-                self.fail(child, where, f'{expected}, got {value!r}')
+                self.fail(child, child_path, f'{expected}, got {value!r}')
             values[key] = value
         for name, spec in fields.items():
             if spec.default is attrs.NOTHING and name not in values:
-                where = f'{path}.{name}' if path else name
-                self.fail(node, where, 'a value; the field is missing')
+                child_path = f'{path}.{name}' if path else name
+                self.fail(node, child_path, 'a value; the field is missing')
         return cls(**values)
 
     def _mapping(
@@ -136,14 +144,16 @@
     def _scalar(
         self, node: yaml.Node, kind: typing.Any, path: str
     ) -> typing.Any:
-        expected = _WORDS.get(kind, 'true or false')
+        expected = _TYPE_NAMES.get(kind, 'true or false')
         if not isinstance(node, yaml.ScalarNode):
             self.fail(node, path, expected)
-        found = _SCALARS.get(node.tag)
-        value = yaml.safe_load(node.value) if found is not str else node.value
-        if kind is float and found is int:
+        tag_type = _TYPES_BY_TAG.get(node.tag)
+        value = (
+            yaml.safe_load(node.value) if tag_type is not str else node.value
+        )
+        if kind is float and tag_type is int:
             return float(value)
-        if found is not kind:
+        if tag_type is not kind:
             self.fail(node, path, f'{expected}, got {node.value!r}')
         return value
 
@@ -153,10 +163,11 @@
     cls: type[T],
     error: type[errors.HoneyportError] = errors.SettingsInvalid,
 ) -> T:
-    """Read a file into an attrs class.
+    """Read a YAML file into an instance of an attrs class.
 
-    :raises errors.HoneyportError: of the class ``error``, if the file is
-        missing or anything in it is wrong
+    :param error: class of the errors that are raised
+    :raises errors.HoneyportError: of the class ``error``, if the file cannot
+        be read or is invalid
     """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
--- a/src/honeyport/settings/fields.py
+++ b/src/honeyport/settings/fields.py
@@ -1,7 +1,7 @@
-"""Fields of documents: what each means, and which values are right.
+"""Declare the fields of documents: documentation, default and validation.
 
-Reading a document needs a YAML library; describing one does not, and a
-process that is configured in another way never loads it.
+This module does not import the YAML library, so that processes that read no
+YAML do not load it.
 """
 
 import collections.abc
@@ -21,11 +21,11 @@
 ) -> typing.Any:
     """Declare a field of a document.
 
-    :param doc: its meaning and unit; the settings reference shows it
-    :param default: its value when it is left out; without one it must be
-        given
-    :param check: returns what was expected if the value is wrong
-    :param factory: makes the default of a list or mapping
+    :param doc: meaning and unit, for the reference pages
+    :param default: value if the field is missing; by default it is required
+    :param check: returns the expected value as text if a value is invalid,
+        else ``None``
+    :param factory: returns the default of a list or mapping
     """
     metadata = {'doc': doc, 'check': check}
     if factory is not None:
@@ -34,18 +34,18 @@
 
 
 def at_least(low: float) -> Check:
-    """Check that a number is not below a bound."""
+    """Return a check that a number is not less than ``low``."""
     return lambda value: None if value >= low else f'at least {low}'
 
 
 def one_of(*allowed: str) -> Check:
-    """Check that a text is one of a few."""
-    words = ', '.join(allowed)
-    return lambda value: None if value in allowed else f'one of {words}'
+    """Return a check that a text is one of ``allowed``."""
+    choices = ', '.join(allowed)
+    return lambda value: None if value in allowed else f'one of {choices}'
 
 
 def address(value: str) -> str | None:
-    """Check that a text is ``IP:PORT``."""
+    """Return the expected format if a text is not ``IP:PORT``."""
     host, _, port = value.rpartition(':')
     if host and port.isdigit() and int(port) < 65536:
         return None
--- a/src/honeyport/settings/roles.py
+++ b/src/honeyport/settings/roles.py
@@ -1,4 +1,4 @@
-"""The settings of each role."""
+"""The settings of each role of a process."""
 
 import attrs
 
@@ -10,51 +10,55 @@
 
 @attrs.frozen(kw_only=True)
 class Common:
-    """What every process is told."""
+    """Settings that all roles share."""
 
-    name: str = fields.field('the name of this instance, unique')
-    domain: str = fields.field('its failure domain')
+    name: str = fields.field('unique name of this instance')
+    domain: str = fields.field('failure domain of this instance')
     log_level: str = fields.field(
-        'the lowest level that is logged',
+        'minimum level of log lines',
         'info',
         check=fields.one_of(*logs.LEVELS),
     )
     traces: str = fields.field(
-        'where spans go', 'none', check=fields.one_of(*_EXPORTERS)
+        'exporter of spans', 'none', check=fields.one_of(*_EXPORTERS)
     )
 
 
 @attrs.frozen(kw_only=True)
 class Router(Common):
-    """A router: callers, peers, engines."""
+    """Settings of a router."""
 
-    listen: str = fields.field('where callers connect', check=fields.address)
+    listen: str = fields.field(
+        'IP:PORT to listen on for callers', check=fields.address
+    )
     peer_listen: str = fields.field(
-        'where other routers connect', check=fields.address
+        'IP:PORT to listen on for other routers', check=fields.address
     )
     control: tuple[str, ...] = fields.field(
-        'where to ask for control, IP:PORT each: control replicas, or any '
-        'other instances'
+        'IP:PORT of each control replica, or of other instances that know '
+        'the leader'
     )
     replica: str = fields.field(
-        'IP:PORT of the control replica in the same process, or none', ''
+        'IP:PORT of the control replica in this process; empty if there is '
+        'none',
+        '',
     )
     regions: dict[str, str] = fields.field(
-        'the region of each failure domain', factory=dict
+        'failure domain to region', factory=dict
     )
     cold_multiple: float = fields.field(
-        'the multiple of cold_rate of a service that a cold instance '
-        'tolerates within one second',
+        'requests that a cold instance tolerates within one second, as a '
+        "multiple of its service's cold_rate",
         1.5,
         check=fields.at_least(0),
     )
     cold_extra: float = fields.field(
-        'requests that it tolerates on top of that',
+        'requests that a cold instance tolerates in addition to cold_multiple',
         5.0,
         check=fields.at_least(0),
     )
     drain_s: float = fields.field(
-        'longest wait for requests in flight at a stop, in seconds',
+        'maximum wait for running requests at shutdown, in seconds',
         600.0,
         check=fields.at_least(0),
     )
@@ -62,66 +66,68 @@
 
 @attrs.frozen(kw_only=True)
 class Control(Common):
-    """A control replica."""
+    """Settings of a control replica."""
 
     listen: str = fields.field(
-        'where routers, operators and other replicas connect',
+        'IP:PORT to listen on for routers, operators and other replicas',
         check=fields.address,
     )
     http_listen: str = fields.field(
-        'where /metrics and /healthz are served',
+        'IP:PORT to listen on for /metrics and /healthz',
         '127.0.0.1:0',
         check=fields.address,
     )
-    data: str = fields.field('the data folder')
+    data: str = fields.field('path of the data folder')
     members: dict[str, str] = fields.field(
-        'the founding replicas: name to IP:PORT, this one included'
+        'initial replicas of the group, including this one: name to IP:PORT'
     )
     voters: int = fields.field(
-        'how many replicas vote, once so many are there; at least the '
-        'founders',
+        'number of replicas that vote, once there are as many; at least the '
+        'number of initial replicas',
         0,
         check=fields.at_least(0),
     )
     reach: dict[str, str] = fields.field(
-        'where to reach a member from here, if not at its own address',
+        'replicas that are reached at another address than their own: name '
+        'to IP:PORT',
         factory=dict,
     )
     may_found: bool = fields.field(
-        'whether an empty disk may take part in founding the group', True
+        'whether this replica may bootstrap the group if its log is empty',
+        True,
     )
     signers: dict[str, str] = fields.field(
-        'who may sign the first bundle: key name to public key'
+        'keys that may sign the first bundle: name to public key'
     )
     threshold: int = fields.field(
-        'how many signatures the first bundle needs',
+        'number of signatures that the first bundle needs',
         1,
         check=fields.at_least(1),
     )
     seed: str | None = fields.field(
-        'a signed bundle to submit while there is none', None
+        'file of a signed bundle that is submitted while there is none', None
     )
     instance_list: str | None = fields.field(
         "IP:PORT of the platform's instance list", None
     )
     election_ms: int = fields.field(
-        'shortest election timeout in milliseconds; the longest is twice it',
+        'minimum election timeout in milliseconds; the maximum is twice that',
         600,
         check=fields.at_least(50),
     )
     heartbeat_ms: int = fields.field(
-        'pause between heartbeats of the leader in milliseconds',
+        "interval of the leader's heartbeats, in milliseconds",
         120,
         check=fields.at_least(10),
     )
     bandwidth_mbps: float = fields.field(
-        'bandwidth of its link in Mbit/s: half of it is for lists and '
-        'configurations of routers that attach',
+        'bandwidth of the network link in Mbit/s; half of it may be used to '
+        'send lists and configurations to routers that connect',
         1000.0,
         check=fields.at_least(0.1),
     )
     snapshot_entries: int = fields.field(
-        'log entries after which a snapshot is taken',
+        'number of log entries after which a snapshot is taken',
         2000,
         check=fields.at_least(10),
     )
@@ -129,53 +135,72 @@
 
 @attrs.frozen(kw_only=True)
 class Engine(Common):
-    """A stand-in engine."""
+    """Settings of a stand-in engine."""
 
-    listen: str = fields.field('where it serves', check=fields.address)
-    slots: int = fields.field('requests it runs at once', 8)
-    token_ms: float = fields.field('milliseconds between tokens', 5.0)
+    listen: str = fields.field('IP:PORT to listen on', check=fields.address)
+    slots: int = fields.field('number of requests that run at once', 8)
+    token_ms: float = fields.field(
+        'time between two tokens, in milliseconds', 5.0
+    )
     first_token_ms: float = fields.field(
-        'milliseconds until the first token of a cached prefix', 10.0
+        'time to the first token if the prefix is cached, in milliseconds',
+        10.0,
     )
     miss_ms: float = fields.field(
-        'milliseconds more where the prefix is not cached', 40.0
+        'additional time to the first token if the prefix is not cached, in '
+        'milliseconds',
+        40.0,
+    )
+    cache_chats: int = fields.field(
+        'number of chats whose prefixes fit into the cache', 200
+    )
+    load_lag_s: float = fields.field(
+        'age of the load that it reports, in seconds', 0.5
     )
-    cache_chats: int = fields.field('chats whose prefix fits', 200)
-    load_lag_s: float = fields.field('how old its load report is', 0.5)
     checks_fencing: bool = fields.field(
-        'whether it refuses orders with an old fencing number', True
+        'whether it refuses orders with an outdated fencing token', True
+    )
+    weights: str = fields.field(
+        'IP:PORT of the weight store; empty if there is none', ''
+    )
+    executions: str = fields.field(
+        'file for the log of executions; empty for no log', ''
     )
-    weights: str = fields.field('IP:PORT of the weight store, or none', '')
-    executions: str = fields.field('file for the log of executions', '')
 
 
 @attrs.frozen(kw_only=True)
 class WeightStore(Common):
-    """A stand-in weight store."""
+    """Settings of a stand-in weight store."""
 
-    listen: str = fields.field('where it serves', check=fields.address)
-    at_once: int = fields.field('loads that it serves at once', 2)
-    load_ms: float = fields.field('milliseconds of a load', 200.0)
-    executions: str = fields.field('file for the log of loads', '')
+    listen: str = fields.field('IP:PORT to listen on', check=fields.address)
+    at_once: int = fields.field('number of loads that run at once', 2)
+    load_ms: float = fields.field('duration of a load, in milliseconds', 200.0)
+    executions: str = fields.field(
+        'file for the log of loads; empty for no log', ''
+    )
 
 
 @attrs.frozen(kw_only=True)
 class Service(Common):
-    """A stand-in plain service."""
+    """Settings of a stand-in plain service."""
 
-    listen: str = fields.field('where it serves', check=fields.address)
-    work_ms: float = fields.field('milliseconds of work a call', 5.0)
-    executions: str = fields.field('file for the log of executions', '')
+    listen: str = fields.field('IP:PORT to listen on', check=fields.address)
+    work_ms: float = fields.field(
+        'duration of a request, in milliseconds', 5.0
+    )
+    executions: str = fields.field(
+        'file for the log of executions; empty for no log', ''
+    )
 
 
 @attrs.frozen(kw_only=True)
 class InstanceList(Common):
-    """A stand-in for the platform's lagging list of instances."""
+    """Settings of a stand-in for the platform's list of instances."""
 
-    listen: str = fields.field('where it serves', check=fields.address)
-    lag_s: float = fields.field('how old its answers are', 2.0)
+    listen: str = fields.field('IP:PORT to listen on', check=fields.address)
+    lag_s: float = fields.field('age of its answers, in seconds', 2.0)
     instances: dict[str, str] = fields.field(
-        'name to state: live or leaving', factory=dict
+        'instances: name to state, live or leaving', factory=dict
     )
 
 
