--- a/src/honeyport/bundle/model.py
+++ b/src/honeyport/bundle/model.py
@@ -1,4 +1,8 @@
-"""The attrs classes of a bundle, the configuration of a fleet."""
+"""The attrs classes of a bundle, the configuration of a fleet.
+
+Field names are the names in YAML; classes and fields are documented on a
+generated reference page.
+"""
 
 import attrs
 
@@ -15,38 +19,45 @@
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """Periods and leases of the fleet."""
+    """Intervals, leases and retention times of the fleet."""
 
     report_ms: int = fields.field(
-        "pause between a router's reports, in milliseconds",
+        "interval of a router's reports to control, in milliseconds",
         250,
         check=fields.at_least(20),
     )
     lease_ms: int = fields.field(
-        'how long a router may serve after a report that was answered',
+        'duration of the lease that control grants with its answer to a '
+        'report, in milliseconds',
         2000,
         check=fields.at_least(200),
     )
     address_ttl_s: int = fields.field(
-        'how long callers keep an address', 30, check=fields.at_least(1)
+        'time that callers may cache an address, in seconds',
+        30,
+        check=fields.at_least(1),
     )
     probe_ms: int = fields.field(
-        'pause between probes of a backend server by its steward',
+        "interval of the steward's probes of a backend server, in "
+        'milliseconds',
         1000,
         check=fields.at_least(50),
     )
     orders_ms: int = fields.field(
-        'pause between two looks at what engines have loaded',
+        'interval of checks which model the engines have loaded, in '
+        'milliseconds',
         2000,
         check=fields.at_least(50),
     )
     linger_ms: int = fields.field(
-        'how long an answer goes on for a caller that may come back',
+        'time that a request keeps running after its caller disconnected, if '
+        'it may reconnect, in milliseconds',
         3000,
         check=fields.at_least(0),
     )
     claim_retention_s: int = fields.field(
-        'how long the outcome of a non-repeatable request is kept',
+        'time that the outcome of a non-repeatable request is stored, in '
+        'seconds',
         3600,
         check=fields.at_least(60),
     )
@@ -54,43 +65,46 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """Bounds on load."""
+    """Limits on load, queues and answers."""
 
     bound: float = fields.field(
-        'most load of an engine, as a multiple of the mean',
+        'maximum load of an engine, as a multiple of the mean load',
         1.25,
         check=fields.at_least(1),
     )
     queue: int = fields.field(
-        'most requests waiting for one backend server',
+        'maximum number of requests queued for a backend server',
         64,
         check=fields.at_least(0),
     )
     deadline_s: float = fields.field(
-        'deadline of a request that names none', 60.0
+        'deadline of a request that sets none, in seconds', 60.0
     )
     warm_wait_ms: int = fields.field(
-        'longest wait for room where a returning chat has its prefix',
+        'maximum time that a chat queues for the engine that has its prefix '
+        'cached, in milliseconds',
         300,
         check=fields.at_least(0),
     )
     hot_chats: int = fields.field(
-        'chats of an engine whose prefixes are moved when it leaves',
+        'number of recent chats whose prefixes are transferred when their '
+        'engine leaves',
         64,
         check=fields.at_least(0),
     )
     transfers_at_once: int = fields.field(
-        'prefixes that one steward moves at once',
+        'number of prefixes that a steward transfers at once',
         2,
         check=fields.at_least(1),
     )
     loads_at_once: int = fields.field(
-        'most engines that load from the weight store at once',
+        'maximum number of engines that load from the weight store at once',
         2,
         check=fields.at_least(1),
     )
     answer_bytes: int = fields.field(
-        'largest answer of a non-repeatable request', 65536
+        'maximum size of the answer to a non-repeatable request, in bytes',
+        65536,
     )
 
 
@@ -98,33 +112,34 @@
 class Model:
     """A model that engines load."""
 
-    version: str = fields.field('its version')
+    version: str = fields.field('version of the model')
     adapters: tuple[str, ...] = fields.field(
-        'adapters loaded with it', factory=tuple
+        'adapters that are loaded with the model', factory=tuple
     )
 
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A service that callers name."""
+    """A service: a set of interchangeable backend servers."""
 
     kind: str = fields.field(
-        'engine or service', check=fields.one_of(ENGINE, SERVICE)
+        'engine: model engines; service: replicas of a plain service',
+        check=fields.one_of(ENGINE, SERVICE),
     )
-    model: str | None = fields.field('the model of its engines', None)
-    health_path: str = fields.field('path of its health check', '/health')
+    model: str | None = fields.field('model that its engines load', None)
+    health_path: str = fields.field('path of the health check', '/health')
     max_connections: int = fields.field(
-        'most connections that one of its instances takes from all callers',
+        'maximum number of connections that an instance accepts',
         256,
         check=fields.at_least(1),
     )
     cold_s: float = fields.field(
-        'how long an instance is cold after its start, in seconds; 0: never',
+        'time that an instance is cold after its start, in seconds; 0: none',
         0.0,
         check=fields.at_least(0),
     )
     cold_rate: float = fields.field(
-        'requests a second that an instance is made for while it is cold',
+        'requests per second that a cold instance can serve',
         0.0,
         check=fields.at_least(0),
     )
@@ -132,87 +147,101 @@
 
 @attrs.frozen(kw_only=True)
 class Backend:
-    """One backend server: a model engine or a plain service's replica."""
+    """A backend server: a model engine or a replica of a plain service."""
 
-    service: str = fields.field('the service it belongs to')
-    address: str = fields.field('IP:PORT', check=fields.address)
-    domain: str = fields.field('its failure domain')
+    service: str = fields.field('service that it belongs to')
+    address: str = fields.field(
+        'IP:PORT that it listens on', check=fields.address
+    )
+    domain: str = fields.field('failure domain that it is in')
     slots: int = fields.field(
-        'most requests at once, whatever the mean',
+        'maximum number of requests that run at once',
         8,
         check=fields.at_least(1),
     )
-    role: str = fields.field('the role its engine takes', 'mixed')
+    role: str = fields.field(
+        'role that the engine is ordered to take', 'mixed'
+    )
     checks_fencing: bool = fields.field(
-        'whether it refuses orders with an old fencing number', True
+        'whether it refuses orders with an outdated fencing token', True
     )
 
 
 @attrs.frozen(kw_only=True)
 class Account:
-    """A client account."""
+    """A client account, whose requests share one weight."""
 
     share: float = fields.field(
-        'its weight when backend servers are full',
+        'weight of the account while requests are queued',
         1.0,
         check=fields.at_least(0.001),
     )
     keys: tuple[str, ...] = fields.field(
-        'API keys whose holder is this account', factory=tuple
+        'API keys of the account', factory=tuple
     )
     priority: int | None = fields.field(
-        'rank of its requests, 0 first; goes before the route', None
+        'priority of its requests, 0 is the highest; overrides the priority '
+        'of the route',
+        None,
     )
     regions: tuple[str, ...] = fields.field(
-        'the only regions in which its requests may run; none: any',
+        'regions in which its requests may run; empty: all',
         factory=tuple,
     )
 
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Which requests go to which service, and what they may cost."""
+    """A rule that maps requests to services, with limits and objectives."""
 
-    host: str = fields.field('host name that callers send')
-    prefix: str = fields.field('start of the path; begins and ends in /')
+    host: str = fields.field('host name of the requests')
+    prefix: str = fields.field('prefix of the path; begins and ends with /')
     semantics: str = fields.field(
-        'what a repetition may do',
+        'whether a request may be repeated: idempotent, non_idempotent or '
+        'streaming',
         IDEMPOTENT,
         check=fields.one_of(IDEMPOTENT, NON_IDEMPOTENT, STREAMING),
     )
     weights: dict[str, int] = fields.field(
-        'services, and their shares of the requests'
+        'service to its weight in the distribution of the requests'
     )
     timeout_ms: int = fields.field(
-        'longest time until the final answer', check=fields.at_least(1)
+        'maximum time until the complete answer, in milliseconds',
+        check=fields.at_least(1),
     )
     objective_ms: int = fields.field(
-        'latency objective of an answer, or of its first event', 500
+        'latency objective of an answer, or of the first event of a stream, '
+        'in milliseconds',
+        500,
     )
     gap_ms: int = fields.field(
-        'longest pause between two events of a stream that is on time', 300
+        'objective for the time between two events of a stream, in '
+        'milliseconds',
+        300,
+    )
+    priority: int = fields.field(
+        'priority of the requests, 0 is the highest', 0
     )
-    priority: int = fields.field('rank of its requests, 0 first', 0)
     attempts: int = fields.field(
-        'most instances that one request may run on',
+        'maximum number of instances that a request may run on',
         1,
         check=fields.at_least(1),
     )
-    public: bool = fields.field('whether it needs no API key', False)
+    public: bool = fields.field('whether requests need no API key', False)
     prefix_cached: bool = fields.field(
-        'whether its requests say which parts of a prompt they share', False
+        'whether requests declare the prompt prefixes that they share', False
     )
     resumable: bool = fields.field(
-        'whether a stream may go on at another instance', False
+        'whether another instance may resume an interrupted stream', False
     )
     regions: tuple[str, ...] = fields.field(
-        'the only regions in which its requests may run; none: any',
+        'regions in which the requests may run; empty: all',
         factory=tuple,
     )
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run a second time."""
+        """Whether a request may run more than once."""
         if self.semantics == STREAMING:
             return self.resumable
         return self.semantics == IDEMPOTENT
@@ -220,44 +249,60 @@
 
 @attrs.frozen(kw_only=True)
 class RequestLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
-    header_bytes: int = fields.field('largest header', 16384)
-    body_bytes: int = fields.field('largest body', 4194304)
-    header_ms: int = fields.field('longest wait for a whole header', 3000)
-    idle_ms: int = fields.field('how long a connection may stay idle', 15000)
+    header_bytes: int = fields.field(
+        'maximum size of the request header, in bytes', 16384
+    )
+    body_bytes: int = fields.field(
+        'maximum size of the request body, in bytes', 4194304
+    )
+    header_ms: int = fields.field(
+        'maximum time to receive the request header, in milliseconds', 3000
+    )
+    idle_ms: int = fields.field(
+        'time after which an idle connection is closed, in milliseconds',
+        15000,
+    )
 
 
 @attrs.frozen(kw_only=True)
 class Signers:
-    """Who may change the bundle."""
+    """The keys that may sign the next bundle."""
 
     threshold: int = fields.field(
-        'signatures that the next bundle needs', 1, check=fields.at_least(1)
+        'number of signatures that the next bundle needs',
+        1,
+        check=fields.at_least(1),
     )
-    keys: dict[str, str] = fields.field('key name to public key, base64')
+    keys: dict[str, str] = fields.field('key name to public key in base64')
 
 
 @attrs.frozen(kw_only=True)
 class Bundle:
-    """The whole configuration of a fleet at one version."""
+    """One version of the configuration of a fleet."""
 
     version: int = fields.field(
-        'one more than the version it is based on', check=fields.at_least(1)
+        'version that this bundle is based on, plus one',
+        check=fields.at_least(1),
     )
-    signers: Signers = fields.field('who signs the next bundle')
+    signers: Signers = fields.field('keys that may sign the next bundle')
     services: dict[str, Service] = fields.field('services by name')
     backends: dict[str, Backend] = fields.field('backend servers by name')
     models: dict[str, Model] = fields.field('models by name', factory=dict)
     accounts: dict[str, Account] = fields.field(
         'client accounts by name', factory=dict
     )
-    timing: Timing = fields.field('periods and leases', factory=Timing)
-    limits: Limits = fields.field('bounds on load', factory=Limits)
+    timing: Timing = fields.field(
+        'intervals, leases and retention times', factory=Timing
+    )
+    limits: Limits = fields.field(
+        'limits on load, queues and answers', factory=Limits
+    )
     routes: dict[str, Route] = fields.field(
-        'routes by name, for callers that name a host and a path',
+        'routes by name, which requests match by host and path',
         factory=dict,
     )
     requests: RequestLimits = fields.field(
-        'what callers may send', factory=RequestLimits
+        "limits on callers' requests", factory=RequestLimits
     )
