--- a/features/steps/telemetry_steps.py
+++ b/features/steps/telemetry_steps.py
@@ -1,4 +1,4 @@
-"""Steps about log lines."""
+"""Steps about log lines, their output and their evaluation."""
 
 import asyncio
 import json
@@ -15,6 +15,7 @@
 
 
 def _line(instance, second, event, request):
+    """Return a log line about a request, with a collector's prefix."""
     return 'prefix ' + json.dumps(
         {
             'instance': instance,
@@ -30,7 +31,7 @@
 def step_lines(context, request):
     context.logs = [
         [
-            'not a line of ours',
+            'not a log line',
             _line('edge-1', 10, 'attempt_failed', request),
             _line('edge-1', 11, 'request_served', 'another'),
             _line('edge-1', 12, 'request_broken', request),
@@ -40,68 +41,68 @@
 
 
 @behave.when(
-    'the request "{request}" is explained, the clock of "{instance}" '
-    '{seconds:d} seconds ahead'
+    'the request "{request}" is explained with the clock of "{instance}" '
+    '{seconds:d} s ahead'
 )
 def step_explain(context, request, instance, seconds):
-    context.found = context.error = None
+    context.timeline = context.error = None
     try:
-        context.found = explain.timeline(
+        context.timeline = explain.timeline(
             request, context.logs, {instance: seconds}
         )
     except errors.UsageInvalid as error:
         context.error = error
 
 
-@behave.then('its events are {names}')
+@behave.then('the events are {names}')
 def step_events(context, names):
-    found = [line.event for line in context.found]
+    found = [line.event for line in context.timeline]
     assert found == names.split(', '), found
-    assert explain.render(context.found).count('\n') == len(found) - 1
+    assert explain.render(context.timeline).count('\n') == len(found) - 1
 
 
-@behave.given('an output whose reader does not read')
+@behave.given('a log output whose reader is blocked')
 def step_output(context):
     reader, writer = os.pipe()
     context.pipe = (reader, writer)
     context.output = output.Output(writer)
 
 
-@behave.when('{count:d} lines are written within a second')
+@behave.when('{count:d} lines are written at once')
 def step_write(context, count):
     async def write():
         for _ in range(count):
             context.output.msg('x' * 200)
         await asyncio.sleep(0.1)
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     context.run(write())
-    context.took_s = time.monotonic() - began
+    context.elapsed_s = time.monotonic() - started_at
 
 
-@behave.then('writing them took less than {seconds:g} seconds')
-def step_took(context, seconds):
-    assert context.took_s < seconds, context.took_s
+@behave.then('writing them takes less than {seconds:g} seconds')
+def step_elapsed(context, seconds):
+    assert context.elapsed_s < seconds, context.elapsed_s
     for descriptor in context.pipe:
         os.close(descriptor)
 
 
-@behave.then('lines were dropped, and their number is known')
+@behave.then('the number of dropped lines is counted')
 def step_dropped(context):
     assert context.output.dropped > 0
 
 
-@behave.then('no two events share a name')
-def step_names(context):
+@behave.then('no two events have the same name')
+def step_unique_names(context):
     names = [event.name for event in events.catalogue()]
     assert len(names) == len(set(names))
 
 
-# -- losses --------------------------------------------------------------
+# -- summaries of logs ---------------------------------------------------
 
 
-def _end(event, **fields):
-    """Return the line of a request's end."""
+def _end_line(event, **fields):
+    """Return the log line about the end of a request."""
     return json.dumps(
         {
             'instance': 'edge-1',
@@ -114,46 +115,46 @@
 
 
 @behave.given(
-    'a log line of a request whose first byte came after {first:d} ms'
+    'a log line of a request with a time to first byte of {first:d} ms'
 )
 def step_slow(context, first):
     context.fields = {'first_ms': first, 'backend': 'i-1', 'source': 'i-2'}
 
 
-@behave.given(
-    'of that it waited {waited:d} ms and connected for {connect:d} ms'
-)
-def step_of_that(context, waited, connect):
+@behave.given('{waited:d} ms of waiting and {connect:d} ms of connecting')
+def step_stages(context, waited, connect):
     stages = {'waited_ms': waited, 'connect_ms': connect, 'offers': 1}
-    context.logs = [[_end('request_served', **context.fields, **stages)]]
+    context.logs = [[_end_line('request_served', **context.fields, **stages)]]
 
 
 @behave.given(
-    'log lines of {served:d} requests that were served, and {refused:d} that '
-    'were refused'
+    'log lines of {served:d} served and {refused:d} refused requests'
 )
-def step_ends(context, served, refused):
-    lines = [_end('request_served', first_ms=20.0)] * served
-    lines += [_end('request_refused', code='HP-3005')] * refused
-    context.logs = [lines, ['no line of ours', '{"json": "of another"}']]
+def step_outcomes(context, served, refused):
+    lines = [_end_line('request_served', first_ms=20.0)] * served
+    lines += [_end_line('request_refused', code='HP-3005')] * refused
+    context.logs = [lines, ['not a log line', '{"json": "not a log line"}']]
 
 
-@behave.when('losses over {slow:d} ms are summed up')
+@behave.when('the logs are summarized with a limit of {slow:d} ms')
 def step_losses(context, slow):
-    context.losses = losses.gather(context.logs, slow)
+    context.losses = losses.summarize(context.logs, slow)
 
 
-@behave.then('the reason for the slow request is "{stage}"')
-def step_stage(context, stage):
+@behave.then('the slow request is attributed to "{stage}"')
+def step_slowest_stage(context, stage):
     assert context.losses.stages == {stage: 1}, context.losses
 
 
-@behave.then('one second has {served:d} served and {refused:d} refused')
+@behave.then(
+    '{served:d} served and {refused:d} refused requests are counted in one '
+    'second'
+)
 def step_second(context, served, refused):
-    (found,) = context.losses.seconds.values()
-    assert (found['served'], found['refused']) == (served, refused), found
+    (counts,) = context.losses.seconds.values()
+    assert (counts['served'], counts['refused']) == (served, refused), counts
 
 
-@behave.then('the reason for the refused ones is "{reason}"')
+@behave.then('the only reason for requests not served is "{reason}"')
 def step_reason(context, reason):
     assert list(context.losses.reasons) == [reason], context.losses
--- a/features/telemetry/logs.feature
+++ b/features/telemetry/logs.feature
@@ -1,20 +1,20 @@
-Feature: Log lines explain a request, and never hold the process up
+Feature: Log lines explain a request and never block the process
 
-  Scenario: one request through the logs of two instances
+  Scenario: the log lines of a request are merged from two instances
     Given log lines of two instances about the request "q-7"
-    When the request "q-7" is explained, the clock of "edge-2" 5 seconds ahead
-    Then its events are attempt_failed, request_broken, request_served
+    When the request "q-7" is explained with the clock of "edge-2" 5 s ahead
+    Then the events are attempt_failed, request_broken, request_served
 
-  Scenario: a request that no line names
+  Scenario: no log line is about the request
     Given log lines of two instances about the request "q-7"
-    When the request "q-8" is explained, the clock of "edge-2" 5 seconds ahead
-    Then it is refused with "no line names the request"
+    When the request "q-8" is explained with the clock of "edge-2" 5 s ahead
+    Then it is refused with "no log line is about the request"
 
-  Scenario Outline: why a request was slow
-    Given a log line of a request whose first byte came after <first> ms
-    And of that it waited <waited> ms and connected for <connect> ms
-    When losses over 300 ms are summed up
-    Then the reason for the slow request is "<stage>"
+  Scenario Outline: a slow request is attributed to its slowest stage
+    Given a log line of a request with a time to first byte of <first> ms
+    And <waited> ms of waiting and <connect> ms of connecting
+    When the logs are summarized with a limit of 300 ms
+    Then the slow request is attributed to "<stage>"
 
     Examples:
       | first | waited | connect | stage                                 |
@@ -22,17 +22,17 @@
       | 350   | 0      | 301     | connecting to instances               |
       | 360   | 0      | 4       | instance i-1, copying from i-2        |
 
-  Scenario: what is lost in a second
-    Given log lines of 3 requests that were served, and 2 that were refused
-    When losses over 300 ms are summed up
-    Then one second has 3 served and 2 refused
-    And the reason for the refused ones is "refused HP-3005"
+  Scenario: requests that were not served are counted per second
+    Given log lines of 3 served and 2 refused requests
+    When the logs are summarized with a limit of 300 ms
+    Then 3 served and 2 refused requests are counted in one second
+    And the only reason for requests not served is "refused HP-3005"
 
-  Scenario: a reader that does not read costs lines, not time
-    Given an output whose reader does not read
-    When 20000 lines are written within a second
-    Then writing them took less than 2 seconds
-    And lines were dropped, and their number is known
+  Scenario: a blocked reader of the log does not block the process
+    Given a log output whose reader is blocked
+    When 20000 lines are written at once
+    Then writing them takes less than 2 seconds
+    And the number of dropped lines is counted
 
-  Scenario: every event of the catalogue has its own number and name
-    Then no two events share a name
+  Scenario: the names of the events in the catalogue are unique
+    Then no two events have the same name
--- a/src/honeyport/telemetry/explain.py
+++ b/src/honeyport/telemetry/explain.py
@@ -1,8 +1,7 @@
-"""One request's way through the logs of several instances.
+"""Merge the log lines of one request from several instances.
 
-Clocks of instances differ, so lines of one instance keep their own order,
-and the instances are told apart; between them the order is by time, and
-the offset of an instance's clock can be given.
+The lines are sorted by time. Clocks of instances differ, so the offset of an
+instance's clock can be given.
 """
 
 import collections.abc
@@ -14,16 +13,20 @@
 from honeyport import errors
 from honeyport.telemetry import lines
 
-_REQUEST = 'request'
-# What every line has; the rest is what decided.
-_COMMON = frozenset(
-    ('event', 'number', 'level', 'timestamp', 'instance', _REQUEST)
+_REQUEST_FIELD = 'request'
+# Fields of every line; the others are shown as details of the event.
+_COMMON_FIELDS = frozenset(
+    ('event', 'number', 'level', 'timestamp', 'instance', _REQUEST_FIELD)
 )
 
 
 @attrs.frozen
 class Line:
-    """One log line about the request."""
+    """A log line about the request.
+
+    :ivar at: its time, corrected by the offset of the instance's clock
+    :ivar fields: the fields that not every line has
+    """
 
     at: datetime.datetime
     instance: str
@@ -36,50 +39,54 @@
     sources: collections.abc.Iterable[collections.abc.Iterable[str]],
     offsets_s: collections.abc.Mapping[str, float],
 ) -> list[Line]:
-    """Return the lines about a request, in the order of their times.
+    """Return the lines about a request, sorted by time.
 
-    Lines that are no JSON, such as the bench's own, are passed over; a
-    prefix before the JSON is cut.
+    Lines without JSON are skipped, and a prefix before the JSON is ignored.
 
     :param sources: the lines of each log
-    :param offsets_s: instance to seconds that its clock is ahead
-    :raises errors.UsageInvalid: if no line names the request
+    :param offsets_s: instance to seconds by which its clock is ahead
+    :raises errors.UsageInvalid: if no line is about the request
     """
-    found = []
+    timeline_lines = []
     for source in sources:
         for text in source:
             line = _parse(text, request_id)
             if line is not None:
-                offset = offsets_s.get(line.instance, 0.0)
-                shift = datetime.timedelta(seconds=offset)
-                found.append(attrs.evolve(line, at=line.at - shift))
-    if not found:
-        raise errors.UsageInvalid(f'no line names the request {request_id!r}')
-    found.sort(key=lambda line: line.at)
-    return found
-
-
-def render(found: list[Line]) -> str:
-    """Return a timeline as text, times from its first line on."""
-    first = found[0].at
+                offset_s = offsets_s.get(line.instance, 0.0)
+                clock_offset = datetime.timedelta(seconds=offset_s)
+                timeline_lines.append(
+                    attrs.evolve(line, at=line.at - clock_offset)
+                )
+    if not timeline_lines:
+        raise errors.UsageInvalid(
+            f'no log line is about the request {request_id!r}'
+        )
+    timeline_lines.sort(key=lambda line: line.at)
+    return timeline_lines
+
+
+def render(timeline_lines: list[Line]) -> str:
+    """Return a timeline as text, with times relative to its first line."""
+    first_at = timeline_lines[0].at
     rows = []
-    for line in found:
-        since_s = (line.at - first).total_seconds()
-        detail = ' '.join(
+    for line in timeline_lines:
+        elapsed_s = (line.at - first_at).total_seconds()
+        details = ' '.join(
             f'{name}={value}' for name, value in line.fields.items()
         )
         rows.append(
-            f'{since_s:+8.3f} s  {line.instance}  {line.event}  {detail}'
+            f'{elapsed_s:+8.3f} s  {line.instance}  {line.event}  {details}'
         )
     return '\n'.join(rows)
 
 
 def run(request_id: str, logs: tuple[str, ...], ahead: str) -> str:
-    """Return the way of a request through logs.
+    """Return the log lines of a request as text.
 
-    :param logs: files; standard input if there are none
-    :param ahead: ``INSTANCE=SECONDS`` with commas
-    :raises errors.UsageInvalid: if a file or an offset cannot be read
+    :param logs: paths of files; standard input if there are none
+    :param ahead: offsets of clocks, as comma-separated ``INSTANCE=SECONDS``
+    :raises errors.UsageInvalid: if a file cannot be read, an offset is
+        malformed, or no line is about the request
     """
     offsets = {}
     for item in filter(None, ahead.split(',')):
@@ -88,22 +95,22 @@
             offsets[instance] = float(seconds)
         except ValueError:
             raise errors.UsageInvalid(
-                f'{item!r}: expected INSTANCE=SECONDS'
+                f'invalid clock offset {item!r}: expected INSTANCE=SECONDS'
             ) from None
-    with lines.opened(logs) as sources:
-        found = timeline(request_id, sources, offsets)
-    return render(found)
+    with lines.open_logs(logs) as sources:
+        timeline_lines = timeline(request_id, sources, offsets)
+    return render(timeline_lines)
 
 
 def _parse(text: str, request_id: str) -> Line | None:
     if request_id not in text:
         return None
     values = lines.parse(text)
-    if values is None or values.get(_REQUEST) != request_id:
+    if values is None or values.get(_REQUEST_FIELD) != request_id:
         return None
     return Line(
         values['timestamp'],
         values.get('instance', ''),
         values['event'],
-        {k: v for k, v in values.items() if k not in _COMMON},
+        {k: v for k, v in values.items() if k not in _COMMON_FIELDS},
     )
--- a/src/honeyport/telemetry/lines.py
+++ b/src/honeyport/telemetry/lines.py
@@ -1,4 +1,4 @@
-"""Log lines of several instances, read back."""
+"""Read and parse the log lines that instances wrote."""
 
 import collections.abc
 import contextlib
@@ -13,9 +13,10 @@
 
 
 def parse(text: str) -> Fields | None:
-    """Return the fields of a line of ours, or ``None`` for any other.
+    """Return the fields of a log line, or ``None`` if it is not honeyport's.
 
-    A prefix before the JSON is cut, such as a collector's.
+    A prefix before the JSON, such as a log collector's, is ignored. The field
+    ``timestamp`` is returned as a ``datetime``.
     """
     start = text.find('{')
     if start < 0:
@@ -33,10 +34,10 @@
 
 
 @contextlib.contextmanager
-def opened(
+def open_logs(
     logs: tuple[str, ...],
 ) -> collections.abc.Iterator[list[typing.Iterable[str]]]:
-    """Open log files, or standard input if none are named.
+    """Open log files, or standard input if there are none.
 
     :raises errors.UsageInvalid: if a file cannot be read
     """
--- a/src/honeyport/telemetry/log.py
+++ b/src/honeyport/telemetry/log.py
@@ -1,4 +1,4 @@
-"""JSON log lines with numbered events."""
+"""Write log lines as JSON with numbered events."""
 
 import logging
 import typing
@@ -24,11 +24,11 @@
     descriptor: int = STANDARD_OUTPUT,
     **bound: typing.Any,
 ) -> None:
-    """Send log lines of a level and above to standard output.
+    """Configure logging of the process.
 
-    :param level: one of ``LEVELS``
-    :param descriptor: where the lines go; it becomes non-blocking
-    :param bound: fields that every line carries, such as the instance
+    :param level: minimum level of lines, a key of ``LEVELS``
+    :param descriptor: file descriptor for the lines; set to non-blocking
+    :param bound: fields that are added to every line, such as the instance
     """
     writer = output.Output(descriptor, _on_dropped)
     structlog.configure(
@@ -47,10 +47,13 @@
 
 
 def emit(event: events.Event, **fields: typing.Any) -> None:
-    """Write one line for an event of the catalogue."""
+    """Write a log line for an event of the catalogue.
+
+    :param fields: values of the event, as further fields of the line
+    """
     logger = structlog.get_logger()
-    write = getattr(logger, event.level)
-    write(event.name, number=event.number, **fields)
+    log_at_level = getattr(logger, event.level)
+    log_at_level(event.name, number=event.number, **fields)
 
 
 def _on_dropped(lines: int) -> None:
--- a/src/honeyport/telemetry/losses.py
+++ b/src/honeyport/telemetry/losses.py
@@ -1,9 +1,9 @@
-"""Where requests and time were lost, summed up from logs alone.
+"""Summarize failed and slow requests from log lines.
 
-For each second, route and instance: how many requests were served, served
-slowly, refused, broken off, or left by their callers; then why. A request is
-slow if its first byte came later than a limit, and the stage that took most
-of that time is named.
+Requests are counted by outcome for each second, route and instance: served,
+slow, refused, broken (no complete answer) or left (the caller disconnected).
+A request is slow if the time to its first byte exceeds a limit; it is
+attributed to the stage that took most of that time.
 """
 
 import collections
@@ -16,21 +16,28 @@
 
 SERVED = 'served'
 SLOW = 'slow'
-_ENDS = {
+_OUTCOMES_BY_EVENT = {
     'request_served': SERVED,
     'request_refused': 'refused',
     'request_broken': 'broken',
     'request_abandoned': 'left',
 }
 _COLUMNS = (SERVED, SLOW, 'refused', 'broken', 'left')
-_MOST_ROWS = 20  # of a table that has no natural end
+_MAX_RANKED_ROWS = 20
 
 Counts = collections.Counter[str]
 
 
 @attrs.define
 class Losses:
-    """What became of requests, by several keys."""
+    """Counts of requests by outcome.
+
+    :ivar seconds: second as ``HH:MM:SS`` to counts by outcome
+    :ivar routes: route to counts by outcome
+    :ivar instances: logging instance to counts by outcome
+    :ivar reasons: outcome and error code to the number of failed requests
+    :ivar stages: slowest stage to the number of slow requests
+    """
 
     seconds: dict[str, Counts] = attrs.field(factory=dict)
     routes: dict[str, Counts] = attrs.field(factory=dict)
@@ -38,15 +45,15 @@
     reasons: Counts = attrs.field(factory=collections.Counter)
     stages: Counts = attrs.field(factory=collections.Counter)
 
-    def take(self, fields: lines.Fields, slow_ms: float) -> None:
-        """Count a line, if it says how a request ended."""
-        outcome = _ENDS.get(fields['event'])
+    def record(self, fields: lines.Fields, slow_ms: float) -> None:
+        """Count a log line if it is about the end of a request."""
+        outcome = _OUTCOMES_BY_EVENT.get(fields['event'])
         if outcome is None:
             return
         first_ms = fields.get('first_ms') or 0.0
         if outcome == SERVED and first_ms > slow_ms:
             outcome = SLOW
-            self.stages[stage(fields)] += 1
+            self.stages[slowest_stage(fields)] += 1
         if outcome not in (SERVED, SLOW):
             code = fields.get('code', '')
             self.reasons[f'{outcome} {code}'.strip()] += 1
@@ -59,8 +66,8 @@
             table.setdefault(key, collections.Counter())[outcome] += 1
 
 
-def stage(fields: lines.Fields) -> str:
-    """Return what took most of the time to a request's first byte."""
+def slowest_stage(fields: lines.Fields) -> str:
+    """Return the stage that took most of the time to the first byte."""
     waited_ms = fields.get('waited_ms') or 0.0
     connect_ms = fields.get('connect_ms') or 0.0
     rest_ms = (fields.get('first_ms') or 0.0) - waited_ms - connect_ms
@@ -76,35 +83,38 @@
     return f'instance {backend}'
 
 
-def gather(
+def summarize(
     sources: collections.abc.Iterable[typing.Iterable[str]], slow_ms: float
 ) -> Losses:
-    """Sum up the lines of some logs."""
-    found = Losses()
+    """Return the counts of all lines in logs.
+
+    :param slow_ms: time to the first byte above which a request is slow
+    """
+    losses = Losses()
     for source in sources:
         for text in source:
             fields = lines.parse(text)
             if fields is not None:
-                found.take(fields, slow_ms)
-    return found
+                losses.record(fields, slow_ms)
+    return losses
 
 
 def run(logs: tuple[str, ...], slow_ms: float) -> str:
-    """Return tables of what was lost in some logs.
+    """Return a summary of logs as text tables.
 
-    :param logs: files; standard input if there are none
-    :param slow_ms: after how many milliseconds a first byte is slow
+    :param logs: paths of files; standard input if there are none
+    :param slow_ms: time to the first byte above which a request is slow
     :raises errors.UsageInvalid: if a file cannot be read
     """
-    with lines.opened(logs) as sources:
-        found = gather(sources, slow_ms)
+    with lines.open_logs(logs) as sources:
+        losses = summarize(sources, slow_ms)
     return '\n\n'.join(
         (
-            _table('second', found.seconds, lost_only=True),
-            _table('route', found.routes),
-            _table('instance', found.instances),
-            _ranked('why not served', found.reasons),
-            _ranked('why slow', found.stages),
+            _table('second', losses.seconds, lost_only=True),
+            _table('route', losses.routes),
+            _table('instance', losses.instances),
+            _ranked('why not served', losses.reasons),
+            _ranked('why slow', losses.stages),
         )
     )
 
@@ -113,17 +123,21 @@
     name: str, rows: dict[str, Counts], *, lost_only: bool = False
 ) -> str:
     width = max([len(name), *map(len, rows)])
-    head = f'{name:{width}} ' + ' '.join(f'{one:>8}' for one in _COLUMNS)
+    header = f'{name:{width}} ' + ' '.join(
+        f'{column:>8}' for column in _COLUMNS
+    )
     body = [
-        f'{key:{width}} ' + ' '.join(f'{row[one]:>8}' for one in _COLUMNS)
-        for key, row in sorted(rows.items())
-        if not lost_only or row.total() > row[SERVED]
+        f'{key:{width}} '
+        + ' '.join(f'{counts[column]:>8}' for column in _COLUMNS)
+        for key, counts in sorted(rows.items())
+        if not lost_only or counts.total() > counts[SERVED]
     ]
-    return '\n'.join([head, *body])
+    return '\n'.join([header, *body])
 
 
 def _ranked(name: str, counts: Counts) -> str:
     rows = [
-        f'{count:>8} {key}' for key, count in counts.most_common(_MOST_ROWS)
+        f'{count:>8} {key}'
+        for key, count in counts.most_common(_MAX_RANKED_ROWS)
     ]
     return '\n'.join([name, *rows])
--- a/src/honeyport/telemetry/output.py
+++ b/src/honeyport/telemetry/output.py
@@ -1,28 +1,28 @@
-"""Log lines to standard output: bounded in volume, never blocking.
+"""Non-blocking, rate-limited output of log lines.
 
-Lines wait in memory for a moment and are written together. A reader that
-is too slow, or more lines than the rate allows, costs lines, not time:
-what was dropped is counted, and a line says how many.
+Lines are buffered and written in batches. If the reader is too slow or the
+rate limit (a token bucket) is exceeded, lines are dropped instead of blocking
+the process; their number is reported later.
 """
 
 import asyncio
 import collections.abc
 import os
 
-_FLUSH_S = 0.02  # lines of one moment share a system call
-_MOST_BYTES = 256 * 1024  # of lines that wait for a slow reader
-_LINES_PER_S = 400.0  # about five lines a request at the busiest instance
-_BURST_LINES = 2000.0
+_FLUSH_DELAY_S = 0.02  # lines of this time share a system call
+_MAX_BUFFERED_BYTES = 256 * 1024
+_LINES_PER_S = 400.0  # refill rate of the token bucket
+_BURST_LINES = 2000.0  # capacity of the token bucket
 
 OnDropped = collections.abc.Callable[[int], None]
 
 
 class Output:
-    """Writes lines to a file descriptor that may be slow.
+    """Writes lines to a file descriptor without blocking.
 
-    :param descriptor: set to non-blocking, unless a person reads it
-    :param on_dropped: called with a number of dropped lines, once there is
-        room again
+    :param descriptor: set to non-blocking, unless it is a terminal
+    :param on_dropped: called with the number of dropped lines, once lines
+        are accepted again
     """
 
     def __init__(
@@ -30,67 +30,70 @@
     ) -> None:
         self._descriptor = descriptor
         self._on_dropped = on_dropped
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self._dropped = 0
-        self._allowed = _BURST_LINES
-        self._refilled = 0.0
+        self._tokens = _BURST_LINES
+        self._refilled_at = 0.0
         self._scheduled = False
         if not os.isatty(descriptor):
             os.set_blocking(descriptor, False)
 
     @property
     def dropped(self) -> int:
-        """Lines dropped since the last report of it."""
+        """Number of dropped lines that were not reported yet."""
         return self._dropped
 
     def msg(self, line: str) -> None:
-        """Take a line; the method that structlog's loggers call."""
+        """Buffer a line; structlog's loggers call this method."""
         data = line.encode('utf-8', 'replace') + b'\n'
         loop = _running_loop()
         if loop is None:
-            self._waiting += data
+            self._buffer += data
             self.flush()
             return
-        if not self._admit(loop.time(), len(data)):
+        if not self._try_admit(loop.time(), len(data)):
             self._dropped += 1
             return
-        self._waiting += data
+        self._buffer += data
         if not self._scheduled:
             self._scheduled = True
-            loop.call_later(_FLUSH_S, self._flush_later)
+            loop.call_later(_FLUSH_DELAY_S, self._flush_scheduled)
 
     log = debug = info = warning = error = critical = msg
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
-        while self._waiting:
+        """Write as much of the buffer as the descriptor accepts now."""
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._waiting)
+                written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                self._waiting.clear()  # nobody reads any more
+                self._buffer.clear()  # the reader has closed its end
                 return
-            del self._waiting[:written]
+            del self._buffer[:written]
 
-    def _flush_later(self) -> None:
+    def _flush_scheduled(self) -> None:
         self._scheduled = False
         self.flush()
-        if self._dropped and self._on_dropped and self._has_room():
+        if self._dropped and self._on_dropped and self._accepts_lines():
             dropped = self._dropped
             self._dropped = 0
             self._on_dropped(dropped)
 
-    def _has_room(self) -> bool:
-        return len(self._waiting) < _MOST_BYTES and self._allowed >= 1.0
-
-    def _admit(self, now: float, size: int) -> bool:
-        refill = (now - self._refilled) * _LINES_PER_S
-        self._allowed = min(_BURST_LINES, self._allowed + refill)
-        self._refilled = now
-        if self._allowed < 1.0 or len(self._waiting) + size > _MOST_BYTES:
+    def _accepts_lines(self) -> bool:
+        return len(self._buffer) < _MAX_BUFFERED_BYTES and self._tokens >= 1.0
+
+    def _try_admit(self, now: float, line_bytes: int) -> bool:
+        new_tokens = (now - self._refilled_at) * _LINES_PER_S
+        self._tokens = min(_BURST_LINES, self._tokens + new_tokens)
+        self._refilled_at = now
+        if (
+            self._tokens < 1.0
+            or len(self._buffer) + line_bytes > _MAX_BUFFERED_BYTES
+        ):
             return False
-        self._allowed -= 1.0
+        self._tokens -= 1.0
         return True
 
 
--- a/src/honeyport/telemetry/status.py
+++ b/src/honeyport/telemetry/status.py
@@ -1,4 +1,4 @@
-"""``/metrics`` and ``/healthz`` of a process."""
+"""The HTTP endpoints ``/metrics`` and ``/healthz`` of a process."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class MetricsHandler(web.RequestHandler):
-    """All metrics in the Prometheus text format."""
+    """Serves all metrics in the Prometheus text format."""
 
     def initialize(self, counters: metrics.Metrics) -> None:
         self._counters = counters
@@ -23,7 +23,7 @@
 
 
 class HealthHandler(web.RequestHandler):
-    """200 if the process can do its work, 503 and the reason if not."""
+    """Answers 200 if the process is ready, else 503 with the reason."""
 
     def initialize(self, ready: Ready) -> None:
         self._ready = ready
@@ -37,7 +37,7 @@
 def routes(counters: metrics.Metrics, ready: Ready) -> list[typing.Any]:
     """Return the routes for a tornado application.
 
-    :param ready: returns why the process cannot work, or ``''``
+    :param ready: returns why the process is not ready, or ``''`` if it is
     """
     return [
         ('/metrics', MetricsHandler, {'counters': counters}),
@@ -48,7 +48,10 @@
 def serve(
     address: str, counters: metrics.Metrics, ready: Ready
 ) -> httpserver.HTTPServer:
-    """Serve only these two pages."""
+    """Start an HTTP server with only these endpoints.
+
+    :param address: ``IP:PORT`` to listen on
+    """
     host, port = roles.split_address(address)
     application = web.Application(
         routes(counters, ready), log_function=lambda _: None
--- a/src/honeyport/telemetry/traces.py
+++ b/src/honeyport/telemetry/traces.py
@@ -1,7 +1,7 @@
-"""A span for each hop; a no-op that costs nothing when switched off.
+"""Tracing with a span for each hop of a request.
 
-The OpenTelemetry SDK is imported only when an exporter is set, since it
-takes several megabytes.
+The OpenTelemetry SDK takes several megabytes of memory, so it is imported
+only if an exporter is configured.
 """
 
 import contextlib
@@ -11,7 +11,7 @@
 
 
 class Tracer:
-    """The switched-off tracer."""
+    """A tracer that records nothing and passes the parent on."""
 
     @contextlib.contextmanager
     def span(
@@ -27,7 +27,11 @@
 
 
 class OpenTelemetryTracer(Tracer):
-    """Spans through the OpenTelemetry SDK."""
+    """A tracer that exports spans with the OpenTelemetry SDK.
+
+    :param service: name of the process in the spans
+    :param exporter: an OpenTelemetry span exporter
+    """
 
     def __init__(self, service: str, exporter: typing.Any) -> None:
         from opentelemetry.sdk import resources
@@ -59,7 +63,7 @@
     """Return the tracer of a process.
 
     :param exporter: ``none`` or ``console``
-    :param service: the process's name in the spans
+    :param service: name of the process in the spans
     """
     if exporter == 'none':
         return Tracer()
