--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -23,11 +23,9 @@
 from honeyport.telemetry import log as logs
 from honeyport.wire import honeyport_pb2 as pb
 
-# Retry-After without any instance to try, in seconds: the first pause after
-# a failure.
+# Retry-After if there is no instance to try.
 _NO_INSTANCE_RETRY_S = 0.5
-# Retry-After while only cold instances at their limit are left, in seconds:
-# another gateway may have capacity at once.
+# Retry-After if only cold instances are left and all are at their quota.
 _ALL_COLD_RETRY_S = 0.1
 
 NameSet = collections.abc.Set[str]
@@ -191,8 +189,6 @@
             )
         not_resting = self._signals.not_resting(eligible)
         if not not_resting:
-            # A resting instance would reject the request, and each rejection
-            # uses up the retry budget of other requests.
             raise errors.NoInstance(
                 f'all remaining instances of {service} are resting',
                 retry_after=self._signals.retry_after_s(eligible),
@@ -287,7 +283,7 @@
         self._cold_start.record_sent(instance)
         try:
             yield
-            # Durations of failed requests are not representative.
+            # Only successful requests count.
             self._durations.add(instance.service, _now() - started_at)
         finally:
             self._running[instance.id] -= 1
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -108,7 +108,6 @@
         except errors.NotReady as error:
             return error.detail
         if not self._state.instances.number:
-            # Without the list every request would be refused.
             return 'no list of instances yet'
         return ''
 
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -1,7 +1,7 @@
 """Request forwarding: routing, choice of an instance, attempts, answer.
 
-A request that is not idempotent is sent to another instance only if the
-previous one provably did not get it or reports that it did not run it.
+A request that is not idempotent is sent to another instance only if it was not
+sent to the previous one, or if that one reports that it did not run it.
 """
 
 import asyncio
@@ -298,7 +298,8 @@
         says_not_run = head.status in _NOT_RUN_STATUSES
         if head.status < _MIN_FAILURE_STATUS and not says_not_run:
             return answer
-        # A "not run" status is never passed on: the request may have run.
+        # Without the header, a status that callers take as "not run" is not
+        # passed on: the request may have run.
         started = exchange.reply.started
         if not says_not_run and not started:
             exchange.failed_answer = answer
@@ -329,7 +330,7 @@
         self._metrics.count('attempts_failed', code=error.code)
         self._notify_end_detector(exchange, error)
         # Misdirected: another instance has this address and the list is
-        # outdated. Further attempts would use up the retry budget.
+        # outdated.
         was_not_reached = isinstance(
             error, (errors.NotSent, errors.Misdirected)
         )
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -18,11 +18,11 @@
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
 
-# Random delay added to Retry-After when all instances rest, in seconds, so
-# that callers do not all retry at once.
+# Maximum random delay that is added to Retry-After if all instances are in
+# backoff.
 _RETRY_JITTER_MAX_S = 0.5
 # Time after its first leaving header in which an instance still gets requests
-# if no other is available, in seconds; shorter than its draining period.
+# if no other is available.
 _RECENTLY_LEAVING_S = 1.0
 # Values of the leaving header that mean "not leaving".
 _FALSE_VALUES = frozenset(('', '0', 'false'))
--- a/src/honeyport/gateway/pool.py
+++ b/src/honeyport/gateway/pool.py
@@ -23,8 +23,7 @@
 _PEER_TIMEOUT_RATIO = 0.5  # share of the timeout that the peer names
 _MAX_IDLE_PER_INSTANCE = 4
 _MAX_BUFFER_BYTES = 1024 * 1024
-# Retry-After if no connection can be made, in seconds: the first pause for
-# which the instance is avoided.
+# Retry-After if no connection can be made.
 _RETRY_AFTER_S = 0.5
 
 
@@ -132,7 +131,7 @@
 
 
 def _enable_keep_alive(sock: socket.socket) -> None:
-    """Make the kernel detect a peer that vanished without closing."""
+    """Make the kernel detect a peer that is gone without closing."""
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
--- a/src/honeyport/gateway/request_log.py
+++ b/src/honeyport/gateway/request_log.py
@@ -33,7 +33,7 @@
         exchange: exchanges.Exchange | None,
         error: errors.HoneyportError | None = None,
     ) -> None:
-        """Log one line for a request, and count it.
+        """Log the outcome of a request, and count it.
 
         :param event: how the request ended
         :param exchange: ``None`` if it was not admitted
--- a/src/honeyport/gateway/server.py
+++ b/src/honeyport/gateway/server.py
@@ -19,7 +19,7 @@
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 
-# For callers that name no deadline, in seconds; the route timeout is shorter.
+# Deadline for callers that name none.
 _DEFAULT_DEADLINE_S = 600.0
 _CHUNK_BYTES = 64 * 1024
 
--- a/src/honeyport/gateway/sse.py
+++ b/src/honeyport/gateway/sse.py
@@ -6,8 +6,8 @@
 class EventSplitter:
     """Buffers a partial event until it is complete.
 
-    Callers only get complete events, so that a broken stream can be resumed
-    on another instance after the last event.
+    Callers only get complete events; a broken stream is resumed on another
+    instance after the last one.
     """
 
     def __init__(self) -> None:
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -1,10 +1,8 @@
 """Select the gateways that a caller may connect to, and the list's lifetime.
 
-Callers ask the nearest gateways for a new list when theirs has expired, and
-wait for a timeout at each dead one. So lists live long, which limits this to
-one failed connection for each caller and dead gateway. While gateways drain,
-lists live briefly: a draining gateway answers look-ups to the end and then
-refuses connections, so that outdated lists cause refusals.
+A caller fetches a new list when its own has expired. While gateways drain,
+the lifetime is shorter, so that callers switch to other gateways before the
+draining ones refuse connections.
 """
 
 import collections.abc
@@ -13,14 +11,14 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 MAX_ADDRESSES = 64
-# With fewer gateways in the caller's failure domain, the others are listed as
-# well, since the rest could not take the load if one is lost.
+# With fewer gateways in the caller's failure domain, those of its region are
+# listed.
 _MIN_LOCAL_GATEWAYS = 2
 # Lifetime of a list, and while gateways drain.
 _LIFETIME_S = 5.0
 _LIFETIME_WHILE_DRAINING_S = 1.0
-# A rolling restart drains gateways a few seconds apart; so long after the last
-# one it counts as finished.
+# Time after the last draining gateway until the normal lifetime applies again;
+# covers the interval between two gateways of a rolling restart.
 _DRAINING_ENDS_AFTER_S = 6.0
 # Without contact to control for this long, a gateway is no longer listed by
 # the others, and so not by itself.
--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -12,15 +12,15 @@
 import attrs
 
 # Time from the start of a gateway to its first lease when all processes
-# start together: typical and maximum.
-_FIRST_LEASE_TYPICAL_S = 0.4
+# start together: expected and maximum.
+_FIRST_LEASE_EXPECTED_S = 0.4
 _FIRST_LEASE_MAX_S = 0.7
 # How long before its deadline a waiting request is refused, and the shortest
 # retry delay while the first lease is due.
 _REFUSAL_MARGIN_S = 0.1
 # Retry delay while control has no quorum.
 _NO_QUORUM_RETRY_S = 1.0
-# Retry delay if other gateways serve: about a round trip.
+# Retry delay if other gateways serve.
 _OTHER_GATEWAY_RETRY_S = 0.02
 
 
@@ -48,7 +48,7 @@
     latest_lease_at = start_state.started + _FIRST_LEASE_MAX_S
     if start_state.has_served or now >= latest_lease_at:
         return None
-    if until <= max(now, start_state.started + _FIRST_LEASE_TYPICAL_S):
+    if until <= max(now, start_state.started + _FIRST_LEASE_EXPECTED_S):
         return None
     return min(latest_lease_at, until - _REFUSAL_MARGIN_S)
 
@@ -60,5 +60,5 @@
     if now >= start_state.started + _FIRST_LEASE_MAX_S:
         return _NO_QUORUM_RETRY_S
     return max(
-        _REFUSAL_MARGIN_S, start_state.started + _FIRST_LEASE_TYPICAL_S - now
+        _REFUSAL_MARGIN_S, start_state.started + _FIRST_LEASE_EXPECTED_S - now
     )
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -1,14 +1,13 @@
 """Limit the request rate to instances that are cold.
 
 An instance is cold for some seconds after its start or after its failure
-domain returns; it then takes few requests per second and fails under many
-more. Gateways know each other's counts too late to keep a common limit, so the
-limit is divided without communication: rendezvous hashing selects a few
-gateways for each cold instance, and each of them sends at a small rate of its
-own. All others use their next choice.
-
-Only a part of the limit is given out, because gateways may see different sets
-of members while these change.
+domain is restored, and then accepts only a limited request rate. The limit is
+divided among the gateways without communication: rendezvous hashing selects
+the gateways that may send to a cold instance, and each of them has a quota.
+The others use their next choice.
+
+The quotas add up to less than the limit, because gateways may see different
+sets of members while these change.
 """
 
 import collections
@@ -21,14 +20,12 @@
 
 # The window in which the rate limit is measured.
 _WINDOW_S = 1.0
-# Share of the limit that is given out: two disjoint sets of gateways together
-# stay within the limit.
+# Share of the limit that the quotas add up to.
 _USED_SHARE = 0.5
-# The same while all usable instances are cold, where refusals are the
-# alternative.
+# The same while all usable instances are cold.
 _USED_SHARE_ALL_COLD = 0.8
-# How long gateways count after they were last listed. A new leader lists only
-# some of them at first, and each of these would get too large a share.
+# How long gateways count after they were last listed; a new leader lists only
+# some of them at first.
 _REMEMBER_GATEWAY_S = 5.0
 
 Names = collections.abc.Collection[str]
--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -1,13 +1,12 @@
 """Order the addresses at which a router looks for the control leader.
 
-The settings of all instances may name instances that no longer run a control
-replica. Members that a leader confirmed are therefore tried before addresses
-that other instances named, and these before the settings.
+Control replicas that a leader confirmed are tried first, then addresses that
+other instances named, then those in the settings, which may be outdated.
 """
 
 import collections.abc
 
-# Addresses that no leader confirmed; two groups of the maximum size.
+# Maximum number of addresses that no leader confirmed.
 _MAX_HINTS = 12
 
 
--- a/src/honeyport/policy/draining.py
+++ b/src/honeyport/policy/draining.py
@@ -6,8 +6,7 @@
 
 import attrs
 
-# When new requests are refused. Platforms tolerate broken requests only if
-# they were sent within 3 s of the signal, which may be handled late.
+# Time after the signal from which new requests are refused.
 _REFUSE_AFTER_S = 2.5
 # Time before SIGKILL to close files and connections.
 _EXIT_S = 1.0
--- a/src/honeyport/policy/fingerprints.py
+++ b/src/honeyport/policy/fingerprints.py
@@ -7,8 +7,7 @@
 
 import hashlib
 
-# The hash is truncated to this length. A collision only affects the account
-# that constructs it, since the account is hashed as well.
+# Length of the truncated hash.
 LENGTH_BYTES = 16
 
 
--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -1,8 +1,9 @@
 """Rendezvous hashing of keys over candidates.
 
-Every candidate gets a score for the key, and the highest score wins (Thaler
-and Ravishankar, 1998). When a candidate is removed, only its own keys move;
-when one is added, it takes an equal share from each of the others.
+Every candidate gets a score for the key, and the one with the highest score
+is selected (Thaler and Ravishankar, 1998). When a candidate is removed, only
+its own keys move; when one is added, it takes an equal share from each of the
+others.
 """
 
 import collections.abc
@@ -27,7 +28,10 @@
 def rank(
     key: str, candidates: collections.abc.Iterable[str], limit: int
 ) -> list[str]:
-    """Return the best candidates for a key, the best one first."""
+    """Return the candidates with the highest scores, in descending order.
+
+    :param limit: the maximum number of candidates
+    """
     scored = _score(key, candidates)
     return [candidate for _, candidate in heapq.nlargest(limit, scored)]
 
@@ -35,10 +39,7 @@
 def iter_ranked(
     key: str, candidates: collections.abc.Iterable[str]
 ) -> collections.abc.Iterator[str]:
-    """Yield all candidates for a key, the best one first.
-
-    All of them are sorted only if more than the first few are consumed.
-    """
+    """Yield all candidates for a key, by descending score."""
     scored = _score(key, candidates)
     first = heapq.nlargest(_FIRST_BATCH, scored)
     yield from (candidate for _, candidate in first)
@@ -50,10 +51,7 @@
 def is_top_ranked(
     name: str, key: str, candidates: collections.abc.Iterable[str]
 ) -> bool:
-    """Whether a candidate is the best one for a key.
-
-    Stops at the first better candidate, which is cheaper than ranking all.
-    """
+    """Whether a candidate has the highest score for a key."""
     score_of = xxhash.xxh3_64_intdigest
     encoded_key = key.encode()
     own_score = (score_of(encoded_key, candidate_seed(name)), name)
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -1,7 +1,6 @@
 """Pause instances after failures, with exponential backoff.
 
-Each request to an unreachable instance costs a connect timeout, so after one
-failure no other request tries it for a while.
+A paused instance gets requests only if no other instance is available.
 """
 
 import attrs
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -1,14 +1,13 @@
 """Limit the rate at which a leader sends large messages to routers.
 
-After a restart of all gateways, the leader has to send the list of instances
-to each of them. Without a limit these messages fill its link, its heartbeats
-are delayed, and the followers elect another leader.
+After a restart of all gateways, the leader sends the list of instances to each
+of them. The limit keeps these messages from delaying its heartbeats, which
+would cause an election.
 """
 
 # Share of the link; the rest is for heartbeats, leases and callers.
 _LINK_SHARE = 0.5
-# Capacity of the bucket, in seconds of that share; much shorter than the
-# election timeout of a follower.
+# Capacity of the bucket, in seconds at that rate.
 _BURST_S = 0.1
 _BITS_PER_BYTE = 8
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -16,13 +16,10 @@
 from honeyport.policy import prefixes
 from honeyport.policy import stale
 
-# Load bound: this multiple of the mean, plus a number of requests. It is
-# below the platforms' limit (2 times the mean, plus 3) because the counts of
-# other gateways are outdated.
+# Load bound: this multiple of the mean, plus a number of requests.
 _BOUND_MEAN_MULTIPLE = 1.8
 _BOUND_EXTRA_REQUESTS = 1
-# How long a leaving instance may be copied from. A copy from an instance that
-# has stopped would wait until it times out.
+# How long prefixes may be copied from a leaving instance.
 _COPY_FROM_LEAVING_MAX_S = 3.0
 
 
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -10,11 +10,10 @@
 
 import attrs
 
-# How long a new instance waits to inherit a place before it gets a new one:
-# a replacement starts shortly before its predecessor leaves.
+# How long a new instance waits for a free place before it gets a new one; a
+# replacement may start before the instance that it replaces leaves.
 _INHERIT_WAIT_S = 3.0
-# Free places that are kept, as a multiple of the number of instances: all of
-# them may be replaced at the same time.
+# Free places that are kept, as a multiple of the number of instances.
 _FREE_PLACES_PER_INSTANCE = 1.0
 
 
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -13,7 +13,7 @@
 
 from honeyport.policy import hashing
 
-_MAX_PARTS = 2048  # about 200 bytes each
+_MAX_PARTS = 2048
 _MAX_HOLDERS_PER_PART = 3
 
 
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -1,15 +1,11 @@
-"""Exclude instances for all gateways by what some gateways report.
+"""Exclude instances for all gateways, from the reports of some gateways.
 
-Without this, each gateway pays a connect timeout for every instance of a lost
-failure domain, and a retry for every instance that requested a backoff.
+An instance is excluded if gateways of two failure domains report it, or of
+all domains that have gateways. A failure domain without reporting gateways is
+excluded as a whole if enough of its instances are unreachable.
 
-A single gateway may be cut off itself or be misled, so an instance is excluded
-only if gateways of two failure domains report it, or of all domains that have
-gateways. If all gateways of a domain are silent as well, a sample of
-unreachable instances excludes the whole domain.
-
-An excluded instance is tried again after a pause that doubles, because no
-request would otherwise detect its return.
+An exclusion expires, so that requests can detect the return of the instance.
+If the instance is reported again, the next exclusion lasts twice as long.
 """
 
 import collections
@@ -18,17 +14,17 @@
 import attrs
 
 _AGREEING_DOMAINS_NEEDED = 2
-# The first and the longest exclusion. The first is longer than gateways report
-# one failure, so that only a new failure renews it.
+# Duration of the first and of the longest exclusion. The first is longer than
+# a gateway reports one failure.
 _FIRST_EXCLUSION_S = 2.0
 _MAX_EXCLUSION_S = 8.0
-# An instance that is reported again within this time after an exclusion counts
-# as having been unreachable all along.
+# If an instance is reported again within this time after an exclusion, the
+# duration doubles.
 _SAME_OUTAGE_S = 5.0
-# Unreachable instances that show the loss of a domain with silent gateways.
+# Unreachable instances from which on a domain with silent gateways is lost.
 _LOSS_MIN_INSTANCES = 2
-# The same, and the minimum share of its instances, for a domain that may never
-# have had a gateway.
+# The same for a domain without known gateways: minimum number, and minimum
+# share of its instances.
 _LOSS_MIN_INSTANCES_NO_GATEWAY = 5
 _LOSS_MIN_SHARE_NO_GATEWAY = 0.03
 
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -1,10 +1,8 @@
 """Limit the retries of all gateways together without coordination.
 
 A retry is an attempt of a request at a further instance after the first one.
-Each gateway enforces its own part of the fleet's allowance: of the fixed
-part, its share by the number of gateways; of the part that grows with the
-requests, what its own requests earn. The sum therefore also holds in a network
-partition, where each side counts fewer gateways.
+Each gateway enforces a budget of its own: an equal share of the fleet's fixed
+allowance, plus a ratio of its own requests.
 """
 
 import collections
@@ -12,9 +10,8 @@
 
 import attrs
 
-# Shares of the allowance that are used. A gateway loses its counts when it
-# restarts, which may happen twice within a window: that spends the fixed part
-# three times, and what the requests of a window earn twice.
+# Shares of the allowance that are used. The margin covers gateways that lose
+# their counts in a restart, up to twice within a window.
 _RATIO_SHARE = 0.5
 _EXTRA_SHARE = 1 / 3
 # Assumed number of gateways while it is unknown.
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -4,14 +4,13 @@
 
 import attrs
 
-# The longest backoff that is granted: a broken instance may request days.
+# The longest backoff that is granted.
 MAX_BACKOFF_S = 60.0
-# Maximum random delay after a backoff, as a share of it and in seconds, since
-# many gateways are told to back off at the same moment.
+# Maximum random delay after a backoff, as a share of it and in seconds.
 _JITTER_SHARE = 0.2
 _MAX_JITTER_S = 1.0
-# Slow start after a backoff: the concurrent requests from this gateway, which
-# double with each answer until the limit is lifted.
+# Slow start after a backoff: the limit of concurrent requests from this
+# gateway doubles with each answer, and ends above the maximum.
 _SLOW_START_REQUESTS = 1
 _SLOW_START_MAX_REQUESTS = 16
 
--- a/src/honeyport/policy/roster.py
+++ b/src/honeyport/policy/roster.py
@@ -1,22 +1,21 @@
-"""Schedule the leader's calls to routers that are not connected.
+"""Schedule the leader's connection attempts to disconnected routers.
 
-After a loss of all processes the routers may not find control by themselves,
-since their settings may name only instances that know nothing either. The
-control replicas store the addresses of the routers, and the leader calls
-those that have no stream.
+After a restart of all processes, the settings of a router may name no control
+replica. So the replicas store the addresses of the routers, and the leader
+connects to those that have no stream.
 """
 
 import collections.abc
 
 import attrs
 
-# Pauses between calls to a router: they double up to the maximum. A router
-# that is missing for longer than a restart takes is called less often.
+# Pauses between attempts to connect to a router, which double up to the
+# maximum; after the time of a restart, the late pause applies.
 _FIRST_PAUSE_S = 0.5
 _MAX_PAUSE_S = 4.0
 _RESTART_MAX_S = 60.0
 _LATE_PAUSE_S = 30.0
-# Routers that are missing for longer are removed from the stored ones.
+# Routers that are disconnected for longer are removed from the stored ones.
 _EXPIRE_MISSING_S = 3600.0
 
 Addresses = collections.abc.Mapping[str, str]
--- a/src/honeyport/policy/silence.py
+++ b/src/honeyport/policy/silence.py
@@ -1,17 +1,14 @@
 """Idle timeouts after which a request is tried at another instance.
 
 They apply only to requests that may run once more; others have the timeout
-of their route. The limits are longer than an answer that is in time takes, so
-that a slow instance keeps its requests, and shorter than callers wait (four
-times the objective, or eight times the gap between events).
+of their route.
 """
 
 import attrs
 
 from honeyport.bundle import model
 
-# Timeout for the first byte, as a multiple of the route's objective; leaves
-# time for another instance.
+# Timeout for the first byte, as a multiple of the route's objective.
 _FIRST_BYTE_MULTIPLE = 2.5
 # Timeout between two parts, as a multiple of the route's gap between events.
 _GAP_MULTIPLE = 4.0
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -18,8 +18,7 @@
 
 # Weight of a new duration in the moving mean.
 _NEW_DURATION_WEIGHT = 0.1
-# Assumed duration before the first request has ended; short, so that remote
-# counts are soon taken as outdated.
+# Assumed duration before the first request has ended.
 _INITIAL_DURATION_S = 0.1
 
 
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -25,16 +25,15 @@
 # Pauses after the latest end before a barred request is tried again. After
 # the last one only an operator can clear it.
 _BAR_PAUSES_S = (60.0, 600.0, 6000.0)
-# Reports of one instance's end within this time are about the same end; no
-# instance restarts faster.
+# Reports of one instance's end within this time are about the same end.
 _SAME_END_MAX_S = 1.0
-# Requests that are remembered; those that need no permit are dropped first.
+# Maximum number of requests that are remembered; those that need no permit are
+# dropped first.
 _MAX_RECORDS = 4096
-# Suspects that are stored and sent to all gateways, 20 bytes each.
+# Maximum number of suspects that are stored and sent to all gateways.
 _MAX_SUSPECTS = 512
-# An answer clears a request if it came at most this long before the first
-# end: a popular request can be under several ends by coincidence. An older
-# answer may come from another version of the instances.
+# A complete answer clears a request if it came at most this long before the
+# first end.
 _CLEARED_BY_ANSWER_BEFORE_S = 30.0
 # Retry delay while another gateway holds the permit.
 _PERMIT_HELD_RETRY_S = 0.5
