--- a/features/support/calls.py
+++ b/features/support/calls.py
@@ -60,7 +60,7 @@
     started = time.monotonic()
     try:
         async for part in pool.fetch(request):
-            if isinstance(part, http.Start):
+            if isinstance(part, http.ResponseHead):
                 reply.status = part.status
                 reply.headers = dict(part.headers.get_all())
             else:
--- a/src/honeyport/backend/__init__.py
+++ b/src/honeyport/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of backend servers, one module for each kind."""
+"""Clients of backend servers, one module for each kind of service."""
--- a/src/honeyport/backend/connection_errors.py
+++ b/src/honeyport/backend/connection_errors.py
@@ -1,18 +1,18 @@
-"""Why a connection to a backend server could not be made, or broke."""
+"""Classification of connection failures to backend servers."""
 
 from honeyport import errors
 
 
 def root_cause(error: BaseException) -> BaseException:
-    """Return what broke a connection.
+    """Return the operating system's error behind a closed stream.
 
-    Tornado says that its stream is closed, and keeps beside it why.
+    Tornado raises ``StreamClosedError`` with the cause in ``real_error``.
     """
     return getattr(error, 'real_error', None) or error
 
 
-def error_class(found: BaseException) -> type[errors.NotSent]:
-    """Return the error for a connection that could not be made."""
-    if isinstance(found, ConnectionRefusedError):
+def error_class(cause: BaseException) -> type[errors.NotSent]:
+    """Return the error class to raise for a failed connection attempt."""
+    if isinstance(cause, ConnectionRefusedError):
         return errors.ConnectionRefused
     return errors.NotSent
--- a/src/honeyport/backend/http.py
+++ b/src/honeyport/backend/http.py
@@ -1,8 +1,8 @@
-"""HTTP to backend servers: kept connections, no resending.
+"""HTTP/1.1 client for backend servers, with a pool and without retries.
 
 ``tornado``'s own clients either open a connection for each request or,
-through libcurl, send a request again when a kept connection closes. Here
-a connection is kept, and a failure on it is reported, never repaired.
+through libcurl, resend a request when a pooled connection closes. This
+client reuses connections and reports every failure to its caller.
 """
 
 import asyncio
@@ -21,46 +21,49 @@
 from honeyport import errors
 from honeyport.settings import roles
 
-_BUFFERED = 256 * 1024  # bytes read ahead of a slow caller
-_READ_AHEAD = 16 * 1024  # bytes read while nobody asks
-_LARGEST_BODY = 64 * 1024 * 1024
-_KEPT = 16
-_CONNECT_S = 2.0
+_BUFFER_MAX_BYTES = 256 * 1024  # unread body at which reading pauses
+_READ_AHEAD_BYTES = 16 * 1024  # read without a pending read call
+_BODY_MAX_BYTES = 64 * 1024 * 1024
+_IDLE_CONNECTIONS_MAX = 16
+_CONNECT_TIMEOUT_S = 2.0
 
 
 @attrs.frozen
-class Start:
-    """The start of a response."""
+class ResponseHead:
+    """Status and headers of a response."""
 
     status: int
     headers: httputil.HTTPHeaders
 
 
-Part = Start | bytes
+Part = ResponseHead | bytes
 
 
 class _Stream(iostream.IOStream):
     """A stream that stays registered for reading between two reads.
 
-    The base class takes itself off the loop's selector after each read
-    and puts itself on again for the next one: two system calls for each
-    chunk of a streamed answer.
+    The base class unregisters from the event loop's selector after each
+    read and registers again for the next: two system calls for each chunk.
     """
 
     def reading(self) -> bool:
-        return super().reading() or self._read_buffer_size < _READ_AHEAD
+        return super().reading() or self._read_buffer_size < _READ_AHEAD_BYTES
 
 
 class Response(httputil.HTTPMessageDelegate):
-    """Collects a response; pauses reading while too much lies here."""
+    """Buffers a response; pauses reading while the buffer is full.
+
+    :ivar complete: whether the whole response arrived
+    :ivar closed: whether no more data will arrive
+    """
 
     def __init__(self) -> None:
         self._parts: collections.deque[Part] = collections.deque()
-        self._arrived = asyncio.Event()
-        self._taken = asyncio.Event()
-        self._buffered = 0
-        self.whole = False
-        self.ended = False
+        self._data_added = asyncio.Event()
+        self._buffer_drained = asyncio.Event()
+        self._buffered_bytes = 0
+        self.complete = False
+        self.closed = False
 
     def headers_received(
         self,
@@ -69,67 +72,70 @@
     ) -> None:
         assert isinstance(start_line, httputil.ResponseStartLine)
         if start_line.code != 100:
-            self._add(Start(start_line.code, headers))
+            self._add(ResponseHead(start_line.code, headers))
 
     def data_received(
         self, chunk: bytes
     ) -> collections.abc.Awaitable[None] | None:
-        self._buffered += len(chunk)
+        self._buffered_bytes += len(chunk)
         self._add(chunk)
-        if self._buffered <= _BUFFERED:
+        if self._buffered_bytes <= _BUFFER_MAX_BYTES:
             return None
-        return self._drained()
+        return self._wait_until_drained()
 
     def finish(self) -> None:
-        self.whole = True
-        self.end()
+        self.complete = True
+        self.close()
 
     def on_connection_close(self) -> None:
-        self.end()
+        self.close()
 
-    def end(self) -> None:
-        """Note that nothing more comes."""
-        self.ended = True
-        self._arrived.set()
+    def close(self) -> None:
+        """Mark the response as closed and wake the reader."""
+        self.closed = True
+        self._data_added.set()
 
-    async def take(self) -> Part | None:
-        """Return the next part, joining what has piled up; or ``None``."""
+    async def next_part(self) -> Part | None:
+        """Return the next part, all buffered chunks body; ``None`` at the end."""
         while not self._parts:
-            if self.ended:
+            if self.closed:
                 return None
-            self._arrived.clear()
-            await self._arrived.wait()
-        if isinstance(self._parts[0], Start):
+            self._data_added.clear()
+            await self._data_added.wait()
+        if isinstance(self._parts[0], ResponseHead):
             return self._parts.popleft()
-        joined = b''.join(typing.cast(collections.deque[bytes], self._parts))
+        body = b''.join(typing.cast(collections.deque[bytes], self._parts))
         self._parts.clear()
-        self._buffered = 0
-        self._taken.set()
-        return joined
+        self._buffered_bytes = 0
+        self._buffer_drained.set()
+        return body
 
-    async def _drained(self) -> None:
-        while self._buffered > _BUFFERED:
-            self._taken.clear()
-            await self._taken.wait()
+    async def _wait_until_drained(self) -> None:
+        while self._buffered_bytes > _BUFFER_MAX_BYTES:
+            self._buffer_drained.clear()
+            await self._buffer_drained.wait()
 
     def _add(self, part: Part) -> None:
         self._parts.append(part)
-        self._arrived.set()
+        self._data_added.set()
 
 
 @attrs.frozen(kw_only=True)
 class Request:
-    """One request to a backend server."""
+    """An HTTP request to a backend server.
+
+    :ivar new_connection: whether to use a connection that is not pooled
+    """
 
     method: str
     path: str
     headers: collections.abc.Iterable[tuple[str, str]] = ()
     body: bytes = b''
-    fresh: bool = False  # on a connection of its own
+    new_connection: bool = False
 
 
 class Pool:
-    """The connections to one backend server."""
+    """A pool of connections to one backend server."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -139,33 +145,33 @@
         self._family = socket.AF_INET6 if ip.version == 6 else socket.AF_INET
 
     def close(self) -> None:
-        """Close the connections that are not in use."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
     async def fetch(
         self, request: Request
     ) -> collections.abc.AsyncGenerator[Part, None]:
-        """Send a request; yield its ``Start``, then the body's bytes.
+        """Send a request; yield the ``ResponseHead``, then the body's bytes.
 
         :raises errors.NotSent: if no connection could be made
-        :raises errors.BackendLost: if it ended before the response did;
-            the backend server may have got the request
+        :raises errors.BackendLost: if the connection closed before the
+            response was complete; the request may have been received
         """
-        stream = await self._connect(request.fresh)
+        stream = await self._connect(request.new_connection)
         response = Response()
         reader = asyncio.create_task(self._exchange(stream, request, response))
         try:
-            while (part := await response.take()) is not None:
+            while (part := await response.next_part()) is not None:
                 yield part
-            if not response.whole:
+            if not response.complete:
                 raise errors.BackendLost(
                     f'{self._address} closed the connection'
                 )
         finally:
-            if response.whole and not request.fresh:
+            if response.complete and not request.new_connection:
                 await reader
-                self._keep(stream)
+                self._release(stream)
             else:
                 reader.cancel()
                 stream.close()
@@ -180,7 +186,7 @@
             stream,
             True,
             http1connection.HTTP1ConnectionParameters(
-                max_body_size=_LARGEST_BODY
+                max_body_size=_BODY_MAX_BYTES
             ),
         )
         headers = httputil.HTTPHeaders()
@@ -189,24 +195,26 @@
             headers[name] = value
         if request.body or request.method in ('POST', 'PUT', 'PATCH'):
             headers['Content-Length'] = str(len(request.body))
-        line = httputil.RequestStartLine(request.method, request.path, '')
+        start_line = httputil.RequestStartLine(
+            request.method, request.path, ''
+        )
         try:
-            connection.write_headers(line, headers, request.body or None)
+            connection.write_headers(start_line, headers, request.body or None)
             connection.finish()
             await connection.read_response(response)
         except (OSError, httputil.HTTPInputError):
             stream.close()
         finally:
-            response.end()
+            response.close()
 
-    async def _connect(self, fresh: bool) -> iostream.IOStream:
-        while self._idle and not fresh:
+    async def _connect(self, new_connection: bool) -> iostream.IOStream:
+        while self._idle and not new_connection:
             stream = self._idle.pop()
             if not stream.closed():
                 return stream
         stream = _Stream(socket.socket(self._family))
         try:
-            async with asyncio.timeout(_CONNECT_S):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 await stream.connect((self._host, self._port))
         except (OSError, TimeoutError) as error:
             stream.close()
@@ -217,8 +225,8 @@
         stream.set_nodelay(True)
         return stream
 
-    def _keep(self, stream: iostream.IOStream) -> None:
-        if stream.closed() or len(self._idle) >= _KEPT:
+    def _release(self, stream: iostream.IOStream) -> None:
+        if stream.closed() or len(self._idle) >= _IDLE_CONNECTIONS_MAX:
             stream.close()
         else:
             self._idle.append(stream)
@@ -226,10 +234,11 @@
 
 async def read(
     pool: Pool, request: Request, timeout_s: float
-) -> tuple[Start, bytes]:
-    """Return a whole response.
+) -> tuple[ResponseHead, bytes]:
+    """Send a request and return the whole response.
 
-    :raises errors.BackendLost: if it is not whole in time
+    :raises errors.NotSent: if no connection could be made
+    :raises errors.BackendLost: if the response is not complete in time
     """
     parts: list[Part] = []
     try:
@@ -237,6 +246,8 @@
             async for part in pool.fetch(request):
                 parts.append(part)
     except TimeoutError:
-        raise errors.BackendLost('no answer in time') from None
-    start = typing.cast(Start, parts[0])
-    return start, b''.join(typing.cast(list[bytes], parts[1:]))
+        raise errors.BackendLost(
+            'no complete response within the timeout'
+        ) from None
+    head = typing.cast(ResponseHead, parts[0])
+    return head, b''.join(typing.cast(list[bytes], parts[1:]))
--- a/src/honeyport/backend/plain.py
+++ b/src/honeyport/backend/plain.py
@@ -1,4 +1,4 @@
-"""Plain services: a call is passed on as it came."""
+"""Client of plain HTTP services, which forwards calls unchanged."""
 
 import collections.abc
 
@@ -7,8 +7,8 @@
 from honeyport import errors
 from honeyport import exchange
 
-_PROBE_S = 1.0
-_HOP_HEADERS = frozenset(
+_PROBE_TIMEOUT_S = 1.0
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -23,7 +23,7 @@
 
 @registry.register('service')
 class PlainClient:
-    """A client of one replica of a plain service."""
+    """Client of one replica of a plain service."""
 
     def __init__(self, name: str, address: str) -> None:
         self._name = name
@@ -33,28 +33,28 @@
         request = http.Request(
             method=call.method,
             path=call.path,
-            headers=(*call.headers, *identify(call)),
+            headers=(*call.headers, *identity_headers(call)),
             body=call.body,
-            fresh=not call.repeatable,
+            new_connection=not call.repeatable,
         )
         parts = self._pool.fetch(request)
-        async for frame in frames(self._name, parts):
+        async for frame in to_frames(self._name, parts):
             yield frame
 
     async def cancel(self, request_id: str) -> None:
-        """Plain services cannot cancel."""
+        """Do nothing: plain services have no cancellation."""
 
     async def probe(self) -> registry.Load:
         request = http.Request(method='GET', path='/healthz')
-        await http.read(self._pool, request, _PROBE_S)
+        await http.read(self._pool, request, _PROBE_TIMEOUT_S)
         return registry.Load()
 
     def close(self) -> None:
         self._pool.close()
 
 
-def identify(call: exchange.Call) -> list[tuple[str, str]]:
-    """Return the headers that tell a backend server which call this is."""
+def identity_headers(call: exchange.Call) -> list[tuple[str, str]]:
+    """Return the headers that identify a call to a backend server."""
     headers = [
         ('X-Request-Id', call.request_id),
         ('Honeyport-Attempt', str(call.attempt)),
@@ -66,21 +66,25 @@
     return headers
 
 
-async def frames(
+async def to_frames(
     name: str,
     parts: collections.abc.AsyncGenerator[http.Part, None],
 ) -> exchange.Answer:
-    """Turn the parts of a response into numbered frames."""
-    number = length = 0
+    """Convert the parts of a response to numbered frames.
+
+    :raises errors.AnswerCut: if the connection closes after the headers
+    :raises errors.BackendLost: if it closes before them
+    """
+    number = total_bytes = 0
     headers_sent = False
     try:
         async for part in parts:
-            if isinstance(part, http.Start):
+            if isinstance(part, http.ResponseHead):
                 headers_sent = True
-                yield _head(name, part)
+                yield _to_head(name, part)
                 continue
             number += 1
-            length += len(part)
+            total_bytes += len(part)
             yield exchange.Data(number, part)
     except errors.BackendLost as error:
         if headers_sent:
@@ -88,13 +92,13 @@
         raise
     finally:
         await parts.aclose()
-    yield exchange.End(number, length)
+    yield exchange.End(number, total_bytes)
 
 
-def _head(name: str, start: http.Start) -> exchange.Head:
+def _to_head(name: str, response_head: http.ResponseHead) -> exchange.Head:
     headers = tuple(
         (key, value)
-        for key, value in start.headers.get_all()
-        if key.lower() not in _HOP_HEADERS
+        for key, value in response_head.headers.get_all()
+        if key.lower() not in _HOP_BY_HOP_HEADERS
     )
-    return exchange.Head(start.status, headers, name)
+    return exchange.Head(response_head.status, headers, name)
--- a/src/honeyport/backend/registry.py
+++ b/src/honeyport/backend/registry.py
@@ -1,6 +1,6 @@
-"""The kinds of backend servers; one client class for each.
+"""Registry of client classes by the kind of backend server.
 
-A new kind is a module with a class under :func:`register`.
+A new kind is a module whose client class is decorated by :func:`register`.
 """
 
 import typing
@@ -12,7 +12,12 @@
 
 @attrs.frozen
 class Load:
-    """What a backend server says of itself, ``age_s`` seconds late."""
+    """Load that a backend server reports.
+
+    :ivar running: requests that run
+    :ivar waiting: requests that are queued
+    :ivar age_s: age of the report
+    """
 
     running: int = 0
     waiting: int = 0
@@ -23,38 +28,45 @@
     """A router's client of one backend server."""
 
     def answer(self, call: exchange.Call) -> exchange.Answer:
-        """Send a call and yield its answer's frames."""
+        """Send a call and yield the frames of its answer.
+
+        :raises errors.HoneyportError: if the answer is refused or cut
+        """
 
     async def cancel(self, request_id: str) -> None:
-        """Stop a request that nobody waits for."""
+        """Cancel a request whose caller is gone."""
 
     async def probe(self) -> Load:
-        """Ask for its load; raises if it does not answer."""
+        """Return the current load, as a health check.
+
+        :raises errors.HoneyportError: if the probe fails
+        """
 
     def close(self) -> None:
-        """Close its connections."""
+        """Close the idle connections."""
 
 
 Factory = typing.Callable[[str, str], Client]
 
-_KINDS: dict[str, Factory] = {}
+_FACTORIES: dict[str, Factory] = {}
 
 F = typing.TypeVar('F', bound=Factory)
 
 
 def register(kind: str) -> typing.Callable[[F], F]:
-    """Enter the client class of a kind."""
+    """Return a decorator that registers a client class for a kind."""
 
     def decorate(factory: F) -> F:
-        _KINDS[kind] = factory
+        _FACTORIES[kind] = factory
         return factory
 
     return decorate
 
 
 def create(kind: str, name: str, address: str) -> Client:
-    """Return a client of a backend server.
+    """Create a client of a backend server.
 
-    :param kind: as in the bundle's services
+    :param kind: the service's kind in the bundle
+    :param address: ``IP:PORT``
     """
-    return _KINDS[kind](name, address)
+    return _FACTORIES[kind](name, address)
--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -157,7 +157,7 @@
         status = 200
         refused = b''
         async for part in self._pool(address).fetch(request):
-            if isinstance(part, http.Start):
+            if isinstance(part, http.ResponseHead):
                 start = part
                 status = part.status
                 self._remember(service, chat, part)
@@ -279,7 +279,9 @@
         met = dict.fromkeys([*addresses, *self._met])
         self._met = list(met)[:_MOST_MET]
 
-    def _remember(self, service: str, chat: str, start: http.Start) -> None:
+    def _remember(
+        self, service: str, chat: str, start: http.ResponseHead
+    ) -> None:
         placement = start.headers.get('Honeyport-Placement', '')
         if placement:
             self._placements[service, chat] = placement
@@ -326,7 +328,9 @@
         del remembered[next(iter(remembered))]
 
 
-def _error(start: http.Start, body: bytes) -> errors.HoneyportError | None:
+def _error(
+    start: http.ResponseHead, body: bytes
+) -> errors.HoneyportError | None:
     """Return the typed error of an answer, if it is one."""
     if start.status < 400 or 'Honeyport-Router' in start.headers:
         return None
