--- a/src/honeyport/backend/http.py
+++ b/src/honeyport/backend/http.py
@@ -96,7 +96,10 @@
         self._data_added.set()
 
     async def next_part(self) -> Part | None:
-        """Return the next part, all buffered chunks body; ``None`` at the end."""
+        """Return the next part, or ``None`` at the end.
+
+        All buffered chunks of the body are joined to one part.
+        """
         while not self._parts:
             if self.closed:
                 return None
--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -1,8 +1,8 @@
-"""The callers' library: asks where to go, keeps the answer, stays safe.
+"""Client library: discovers routers, retries safely and resumes streams.
 
-What may be sent again is: a chat, since it is resumed or repeated under
-the same request id; and a call with a key, since honeyport runs it at
-most once. A call that is neither is sent again only if it did not run.
+A chat is retried under the same request id, so that its stream is resumed;
+a plain call is retried because it is repeatable or has an idempotency key,
+with which it runs at most once.
 """
 
 import asyncio
@@ -24,20 +24,19 @@
 from honeyport.policy import retries
 from honeyport.router import resume
 
-_TRIES = 6
-_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 5.0
-_ASK_S = 2.0
-_REMEMBERED = 100_000  # chats with an address or a placement
-_TAIL = 256  # bytes that hold the end marks
-# Routers that answers named and that are asked when the first ones are gone:
-# a list names the few of one failure domain, so this holds several lists.
-_MOST_MET = 16
+_ATTEMPTS_MAX = 6
+_BACKOFF_MIN_S = 0.1
+_BACKOFF_MAX_S = 5.0
+_DISCOVERY_TIMEOUT_S = 2.0
+_CACHED_CHATS_MAX = 100_000  # entries of each cache
+_TAIL_BYTES = 256  # enough for the end markers of a stream
+# A list holds the routers of one failure domain; this holds several lists.
+_DISCOVERED_ROUTERS_MAX = 16
 
 
 @attrs.frozen
 class Answer:
-    """A whole answer."""
+    """A complete response of a plain service."""
 
     status: int
     headers: dict[str, str]
@@ -45,42 +44,42 @@
 
     @property
     def recorded(self) -> bool:
-        """Whether it is the recorded outcome of an earlier call."""
+        """Whether this is the recorded outcome of an earlier call."""
         return self.headers.get('Honeyport-Recorded') == 'true'
 
 
 @attrs.define
-class _Known:
+class _CachedAddresses:
     addresses: list[str]
-    until: float
+    expires_at: float
 
 
 class Client:
     """Calls the services of a fleet.
 
-    :param addresses: a few routers to ask first
+    :param addresses: routers to ask for addresses, as ``IP:PORT``
     :param account: the client account
     """
 
     def __init__(
         self, addresses: collections.abc.Sequence[str], account: str
     ) -> None:
-        self._first = list(addresses)
-        self._met: list[str] = []  # the latest first
+        self._seed_routers = list(addresses)
+        self._discovered_routers: list[str] = []  # newest first
         self._account = account
-        self._known: dict[tuple[str, str], _Known] = {}
+        self._address_cache: dict[tuple[str, str], _CachedAddresses] = {}
         self._placements: dict[tuple[str, str], str] = {}
         self._pools: dict[str, http.Pool] = {}
-        self._budget = retries.RetryBudget()
+        self._retry_budget = retries.RetryBudget()
         self._random = random.Random()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close all idle connections."""
         for pool in self._pools.values():
             pool.close()
 
     def placement(self, service: str, chat: str) -> str:
-        """Return the engine that answered a chat last, or ``''``."""
+        """Return the engine that last answered a chat, or ``''``."""
         return self._placements.get((service, chat), '')
 
     async def chat(
@@ -92,9 +91,9 @@
         deadline_s: float = 60.0,
         **options: typing.Any,
     ) -> collections.abc.AsyncGenerator[bytes, None]:
-        """Yield the bytes of a chat's answer, an event stream.
+        """Send a chat and yield the bytes of its event stream.
 
-        :raises errors.HoneyportError: if the answer is not whole
+        :raises errors.HoneyportError: if the answer is not complete
         """
         body = {
             'model': service,
@@ -104,8 +103,12 @@
         }
         request_id = uuid.uuid4().hex
         progress = _Progress()
-        problem: errors.HoneyportError = errors.PeerLost('nobody answered')
-        async for address in self._addresses(service, chat, deadline_s):
+        last_error: errors.HoneyportError = errors.PeerLost(
+            'no router answered'
+        )
+        async for address in self._attempt_addresses(
+            service, chat, deadline_s
+        ):
             request = self._chat_request(
                 service, chat, request_id, body, deadline_s, progress
             )
@@ -116,11 +119,14 @@
                     yield payload
                 return
             except errors.HoneyportError as error:
-                problem = error
-            if not _may_retry_chat(problem) or not self._budget.try_spend():
-                raise problem
+                last_error = error
+            if (
+                not _may_retry_chat(last_error)
+                or not self._retry_budget.try_spend()
+            ):
+                raise last_error
             progress.offset.begin_resume()
-        raise problem
+        raise last_error
 
     def _chat_request(
         self,
@@ -155,21 +161,23 @@
         progress: '_Progress',
     ) -> collections.abc.AsyncGenerator[bytes, None]:
         status = 200
-        refused = b''
+        error_body = b''
         async for part in self._pool(address).fetch(request):
             if isinstance(part, http.ResponseHead):
-                start = part
+                head = part
                 status = part.status
-                self._remember(service, chat, part)
+                self._store_placement(service, chat, part)
             elif status == 200:
                 payload = progress.add(part)
                 if payload:
                     yield payload
             else:
-                refused += part
+                error_body += part
         if status != 200:
-            raise _error(start, refused) or errors.PeerLost(f'status {status}')
-        progress.check()
+            raise _parse_error(head, error_body) or errors.PeerLost(
+                f'status {status}'
+            )
+        progress.check_complete()
 
     async def call(
         self,
@@ -184,9 +192,10 @@
     ) -> Answer:
         """Call a plain service.
 
-        :param repeatable: whether it does no harm to run it twice; if
-            not, it gets a key, and runs at most once
-        :raises errors.HoneyportError: as the fleet answered
+        :param repeatable: whether the call is idempotent; if not, it gets
+            an idempotency key and runs at most once
+        :param key: the idempotency key; by default a new one
+        :raises errors.HoneyportError: the fleet's error
         """
         if not repeatable and not key:
             key = claims.new_key(time.time(), secrets.randbits)
@@ -200,47 +209,58 @@
             headers=list(headers.items()),
             body=body,
         )
-        problem: errors.HoneyportError = errors.PeerLost('nobody answered')
-        async for address in self._addresses(service, '', deadline_s):
+        last_error: errors.HoneyportError = errors.PeerLost(
+            'no router answered'
+        )
+        async for address in self._attempt_addresses(service, '', deadline_s):
             try:
-                start, answer = await http.read(
+                head, answer = await http.read(
                     self._pool(address), request, deadline_s
                 )
             except (errors.NotSent, errors.BackendLost) as error:
-                problem = error
+                last_error = error
                 continue
-            found = _error(start, answer)
-            if found is None:
-                return Answer(start.status, dict(start.headers), answer)
-            problem = found
-            if not _may_retry(found):
-                raise found
-            await asyncio.sleep(min(found.retry_after or 0, _LONGEST_PAUSE_S))
-        raise problem
-
-    async def _addresses(
+            fleet_error = _parse_error(head, answer)
+            if fleet_error is None:
+                return Answer(head.status, dict(head.headers), answer)
+            last_error = fleet_error
+            if not _may_retry(fleet_error):
+                raise fleet_error
+            await asyncio.sleep(
+                min(fleet_error.retry_after or 0, _BACKOFF_MAX_S)
+            )
+        raise last_error
+
+    async def _attempt_addresses(
         self, service: str, chat: str, deadline_s: float
     ) -> collections.abc.AsyncIterator[str]:
-        """Yield one address after another, with pauses in between."""
-        self._budget.record_request()
+        """Yield the address of each attempt, with exponential backoff."""
+        self._retry_budget.record_request()
         loop = asyncio.get_running_loop()
-        until = loop.time() + deadline_s
-        pause_s = _PAUSE_S
-        for number in range(_TRIES):
-            known = await self._ask(service, chat, fresh=number > 0)
-            yield known[number % len(known)]
+        deadline = loop.time() + deadline_s
+        backoff_s = _BACKOFF_MIN_S
+        for attempt in range(_ATTEMPTS_MAX):
+            addresses = await self._discover(
+                service, chat, bypass_cache=attempt > 0
+            )
+            yield addresses[attempt % len(addresses)]
             jitter = self._random.uniform(0.5, 1.5)
-            if loop.time() + pause_s * jitter > until:
+            if loop.time() + backoff_s * jitter > deadline:
                 return
-            await asyncio.sleep(pause_s * jitter)
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+            await asyncio.sleep(backoff_s * jitter)
+            backoff_s = min(backoff_s * 2, _BACKOFF_MAX_S)
 
-    async def _ask(self, service: str, chat: str, *, fresh: bool) -> list[str]:
-        """Return the addresses to use, asking when they are too old."""
+    async def _discover(
+        self, service: str, chat: str, *, bypass_cache: bool
+    ) -> list[str]:
+        """Return the addresses for a chat, from the cache or a router.
+
+        Without an answer, expired addresses or the seed routers are used.
+        """
         now = clock.now()
-        known = self._known.get((service, chat))
-        if known is not None and known.until > now and not fresh:
-            return known.addresses
+        cached = self._address_cache.get((service, chat))
+        if cached is not None and cached.expires_at > now and not bypass_cache:
+            return cached.addresses
         query = urllib.parse.urlencode(
             {
                 'service': service,
@@ -249,43 +269,54 @@
             }
         )
         request = http.Request(method='GET', path=f'/v1/addresses?{query}')
-        for address in self._routers():
+        for address in self._routers_to_ask():
             try:
-                start, body = await http.read(
-                    self._pool(address), request, _ASK_S
+                head, body = await http.read(
+                    self._pool(address), request, _DISCOVERY_TIMEOUT_S
                 )
             except (errors.NotSent, errors.BackendLost):
                 continue
-            if start.status != 200:
+            if head.status != 200:
                 continue
-            found = json.loads(body)
-            addresses = [one['address'] for one in found['addresses']]
-            until = now + found['ttl_s']
-            self._meet(addresses)
-            self._known[service, chat] = _Known(addresses, until)
-            _trim(self._known)
+            listing = json.loads(body)
+            addresses = [entry['address'] for entry in listing['addresses']]
+            expires_at = now + listing['ttl_s']
+            self._add_discovered(addresses)
+            self._address_cache[service, chat] = _CachedAddresses(
+                addresses, expires_at
+            )
+            _evict_oldest(self._address_cache)
             return addresses
-        return known.addresses if known else self._first
+        return cached.addresses if cached else self._seed_routers
 
-    def _routers(self) -> list[str]:
-        """Return whom to ask for addresses, the first ones in any order.
+    def _routers_to_ask(self) -> list[str]:
+        """Return the seed routers in random order, then discovered ones.
 
-        Those may all be gone one day; what answers named since is asked, too.
+        Discovered routers keep discovery working after all seeds are gone.
         """
-        first = self._random.sample(self._first, len(self._first))
-        return [*first, *(one for one in self._met if one not in first)]
-
-    def _meet(self, addresses: list[str]) -> None:
-        met = dict.fromkeys([*addresses, *self._met])
-        self._met = list(met)[:_MOST_MET]
-
-    def _remember(
-        self, service: str, chat: str, start: http.ResponseHead
+        seeds = self._random.sample(
+            self._seed_routers, len(self._seed_routers)
+        )
+        return [
+            *seeds,
+            *(
+                address
+                for address in self._discovered_routers
+                if address not in seeds
+            ),
+        ]
+
+    def _add_discovered(self, addresses: list[str]) -> None:
+        newest_first = dict.fromkeys([*addresses, *self._discovered_routers])
+        self._discovered_routers = list(newest_first)[:_DISCOVERED_ROUTERS_MAX]
+
+    def _store_placement(
+        self, service: str, chat: str, head: http.ResponseHead
     ) -> None:
-        placement = start.headers.get('Honeyport-Placement', '')
+        placement = head.headers.get('Honeyport-Placement', '')
         if placement:
             self._placements[service, chat] = placement
-            _trim(self._placements)
+            _evict_oldest(self._placements)
 
     def _headers(self, deadline_s: float) -> dict[str, str]:
         return {
@@ -301,7 +332,7 @@
 
 
 class _Progress:
-    """How far a stream of events has come, and whether it is whole."""
+    """Position in an event stream, and whether the stream is complete."""
 
     def __init__(self) -> None:
         self.offset = resume.StreamOffset()
@@ -309,55 +340,61 @@
         self._tail = b''
 
     def add(self, part: bytes) -> bytes:
-        """Count bytes in; return those that the caller lacks."""
+        """Record received bytes; return those not yet passed on."""
         payload = self.offset.strip_received(part)
         self.length += len(payload)
-        self._tail = (self._tail + payload)[-_TAIL:]
+        self._tail = (self._tail + payload)[-_TAIL_BYTES:]
         return payload
 
-    def check(self) -> None:
-        """Raise unless the stream says that it is whole."""
-        _, found, rest = self._tail.rpartition(b'data: [DONE]\n\n')
-        if not found or not rest.startswith(b': whole bytes='):
-            raise errors.AnswerCut('the stream ended early')
+    def check_complete(self) -> None:
+        """Raise unless the stream ended with its completion markers.
+
+        :raises errors.AnswerCut: if the markers are missing
+        """
+        _, marker, trailer = self._tail.rpartition(b'data: [DONE]\n\n')
+        if not marker or not trailer.startswith(b': whole bytes='):
+            raise errors.AnswerCut('the stream ended without its end markers')
 
 
-def _trim(remembered: dict[tuple[str, str], typing.Any]) -> None:
-    """Forget what was remembered first, beyond a limit."""
-    while len(remembered) > _REMEMBERED:
-        del remembered[next(iter(remembered))]
+def _evict_oldest(cache: dict[tuple[str, str], typing.Any]) -> None:
+    """Remove the entries added first while a cache is over its limit."""
+    while len(cache) > _CACHED_CHATS_MAX:
+        del cache[next(iter(cache))]
 
 
-def _error(
-    start: http.ResponseHead, body: bytes
+def _parse_error(
+    head: http.ResponseHead, body: bytes
 ) -> errors.HoneyportError | None:
-    """Return the typed error of an answer, if it is one."""
-    if start.status < 400 or 'Honeyport-Router' in start.headers:
+    """Return the fleet's error in a response, or ``None``.
+
+    Error responses of the service itself are no errors of the fleet.
+    """
+    if head.status < 400 or 'Honeyport-Router' in head.headers:
         return None
     try:
-        found = json.loads(body)['error']
+        fields = json.loads(body)['error']
     except (ValueError, KeyError, TypeError):
         return None
-    error = errors.by_code(found['code'])(
-        found['message'], retry_after=found.get('retry_after_s')
+    error = errors.by_code(fields['code'])(
+        fields['message'], retry_after=fields.get('retry_after_s')
     )
-    error.ran = found['ran']
+    error.ran = fields['ran']
     return error
 
 
 def _may_retry_chat(error: errors.HoneyportError) -> bool:
-    """Whether the same chat request may be sent again."""
-    final = (errors.BadRequest, errors.UnknownService, errors.UnknownAccount)
-    spent = (errors.DeadlinePassed, errors.RequestBarred)
-    return not isinstance(error, (*final, *spent))
+    """Return whether a chat may be retried after an error."""
+    invalid = (errors.BadRequest, errors.UnknownService, errors.UnknownAccount)
+    stopped = (errors.DeadlinePassed, errors.RequestBarred)
+    return not isinstance(error, (*invalid, *stopped))
 
 
 def _may_retry(error: errors.HoneyportError) -> bool:
-    """Whether a repetition is safe and may do better."""
-    later = (errors.NotReady, errors.Draining, errors.Overloaded)
-    running = (
+    """Return whether a retry is safe and may succeed."""
+    unavailable = (errors.NotReady, errors.Draining, errors.Overloaded)
+    undecided = (
         errors.StillRunning,
         errors.ControlUnavailable,
         errors.RequestHeld,
     )
-    return isinstance(error, (*later, *running, errors.NotSent))
+    return isinstance(error, (*unavailable, *undecided, errors.NotSent))
