--- a/src/honeyport/wire/instance_load.py
+++ b/src/honeyport/wire/instance_load.py
@@ -1,14 +1,14 @@
-"""What the loads of all routers say of one instance, in one small number."""
+"""Compact encoding of an instance's load, summed over all routers."""
 
 import attrs
 
 
 @attrs.frozen
 class Load:
-    """One instance.
+    """Load of one instance.
 
     :ivar running: requests that run there, through all routers
-    :ivar unreachable: whether all gateways leave it alone
+    :ivar unreachable: whether all gateways exclude it
     """
 
     running: int
@@ -16,10 +16,13 @@
 
 
 def encode(running: int, *, unreachable: bool = False) -> int:
-    """Return the number for an instance; 0 for one at rest."""
+    """Return the code of a load; 0 for an idle, reachable instance.
+
+    The lowest bit is the ``unreachable`` flag.
+    """
     return 2 * running + unreachable
 
 
 def decode(code: int) -> Load:
-    """Return what a number stands for."""
+    """Return the load of a code from :func:`encode`."""
     return Load(code // 2, bool(code % 2))
--- a/src/honeyport/wire/listing.py
+++ b/src/honeyport/wire/listing.py
@@ -1,8 +1,7 @@
-"""Lists of instances on their way from the leader to the routers.
+"""Compressed deltas of the instance list, sent by the leader to routers.
 
-A list of 3,000 instances is 203 kB as a message and 51 kB compressed (one
-list with random identifiers and addresses). Links of routers take 0.6 MB a
-second, and the one of a leader of 300 routers 12.5.
+A list is hashed into partitions with a digest each, so that a router that
+knows another list gets only the partitions that differ.
 """
 
 import collections.abc
@@ -13,11 +12,8 @@
 from honeyport import errors
 from honeyport.wire import honeyport_pb2 as pb
 
-# Parts of a list that have a digest each, 1 kB in all. Of 3,000 instances 12
-# stand in one, and what another leader has read differs in a few of them.
-_PARTS = 256
-# Two lists that differ in a part are taken for alike once in 4e9.
-_DIGEST_BYTES = 4
+_PARTITION_COUNT = 256
+_DIGEST_BYTES = 4  # a differing partition goes unnoticed once in 2**32
 
 Instances = collections.abc.Iterable[pb.Instance]
 
@@ -27,9 +23,11 @@
     removed: collections.abc.Iterable[str] = (),
     parts: collections.abc.Iterable[int] = (),
 ) -> bytes:
-    """Return a change of a list, compressed; empty if nothing changes.
+    """Return a compressed change of a list; empty if nothing changes.
 
-    :param parts: the parts of the list that ``put`` names in full
+    :param put: instances that are new or changed
+    :param removed: identifiers of removed instances
+    :param parts: partitions that ``put`` replaces as a whole
     """
     change = pb.InstanceChange(put=put, removed=removed, parts=parts)
     return (
@@ -38,72 +36,77 @@
 
 
 def apply(known: pb.Instances, message: pb.InstanceList) -> pb.Instances:
-    """Return the list that a message leads to.
+    """Apply a message to a list; return the new list.
 
-    :param known: the list that there is
-    :raises errors.ListUnusable: if the message changes another list
+    :param known: the current list
+    :raises errors.ListUnusable: if the message is based on another list
     """
     if message.base and message.base != known.number:
         raise errors.ListUnusable(
-            f'list {message.number} changes list {message.base}, and list '
-            f'{known.number} is known'
+            f'list {message.number} is based on list {message.base}, but the '
+            f'current list is {known.number}'
         )
     change = pb.InstanceChange()
     if message.change:
         change.ParseFromString(zlib.decompress(message.change))
     by_id = {}
     if message.base:
-        by_id = {one.id: one for one in known.instances}
+        by_id = {instance.id: instance for instance in known.instances}
     parts = set(change.parts)
     if parts:
         by_id = {
-            name: one for name, one in by_id.items() if part(name) not in parts
+            instance_id: instance
+            for instance_id, instance in by_id.items()
+            if part(instance_id) not in parts
         }
-    for name in change.removed:
-        by_id.pop(name, None)
-    by_id |= {one.id: one for one in change.put}
+    for instance_id in change.removed:
+        by_id.pop(instance_id, None)
+    by_id |= {instance.id: instance for instance in change.put}
     return pb.Instances(
         number=message.number,
-        instances=[by_id[name] for name in sorted(by_id)],
+        instances=[by_id[instance_id] for instance_id in sorted(by_id)],
     )
 
 
-def part(instance: str) -> int:
-    """Return the part of a list in which an instance stands."""
-    return xxhash.xxh3_64_intdigest(instance.encode()) % _PARTS
+def part(instance_id: str) -> int:
+    """Return the partition of a list to which an instance belongs."""
+    return xxhash.xxh3_64_intdigest(instance_id.encode()) % _PARTITION_COUNT
 
 
 def digests(instances: Instances) -> bytes:
-    """Return the digests of all parts of a list, one after the other.
+    """Return the concatenated digests of all partitions of a list.
 
-    For how long each instance is cold is left out: it differs with the time
-    at which a list was made.
+    ``cold_ms`` is left out because it depends on when a list was made.
 
-    :param instances: by identifier
+    :param instances: sorted by identifier
     """
-    found = [xxhash.xxh3_64() for _ in range(_PARTS)]
-    for one in instances:
+    hashers = [xxhash.xxh3_64() for _ in range(_PARTITION_COUNT)]
+    for instance in instances:
         fields = (
-            one.id,
-            one.service,
-            one.address,
-            one.domain,
-            one.leaving,
-            one.slots,
-            one.place,
+            instance.id,
+            instance.service,
+            instance.address,
+            instance.domain,
+            instance.leaving,
+            instance.slots,
+            instance.place,
         )
-        found[part(one.id)].update(repr(fields).encode())
-    return b''.join(one.digest()[:_DIGEST_BYTES] for one in found)
+        hashers[part(instance.id)].update(repr(fields).encode())
+    return b''.join(hasher.digest()[:_DIGEST_BYTES] for hasher in hashers)
 
 
-def differing_parts(one: bytes, other: bytes) -> list[int]:
-    """Return the parts that differ between two lists, by their digests."""
+def differing_parts(left: bytes, right: bytes) -> list[int]:
+    """Return the partitions whose digests differ between two lists.
+
+    :param left: the digests of one list, from :func:`digests`
+    :param right: the digests of the other list
+    """
     size = _DIGEST_BYTES
-    if len(one) != len(other):
-        return list(range(_PARTS))
+    if len(left) != len(right):
+        return list(range(_PARTITION_COUNT))
     return [
         number
-        for number in range(_PARTS)
-        if one[number * size : (number + 1) * size]
-        != other[number * size : (number + 1) * size]
+        for number in range(_PARTITION_COUNT)
+        if left[number * size : (number + 1) * size]
+        != right[number * size : (number + 1) * size]
     ]
--- a/src/honeyport/wire/outbox.py
+++ b/src/honeyport/wire/outbox.py
@@ -1,4 +1,4 @@
-"""Coalescing: what piles up while a message is on its way goes together."""
+"""Queue that coalesces items into one message while another is sent."""
 
 import asyncio
 import typing
@@ -7,9 +7,9 @@
 
 
 class Outbox(typing.Generic[T]):
-    """A queue that is emptied as a whole.
+    """A queue whose items are taken all at once.
 
-    :param pause_s: wait this long for more before each message
+    :param pause_s: delay before each batch, to collect more items
     """
 
     def __init__(self, pause_s: float = 0.0) -> None:
@@ -20,21 +20,24 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing more is taken."""
+        """Whether the queue accepts no more items."""
         return self._closed
 
     def put(self, item: T) -> None:
-        """Add an item; dropped without a word once closed."""
+        """Add an item; once closed, discard it silently."""
         if not self._closed:
             self._items.append(item)
             self._ready.set()
 
     def wake(self) -> None:
-        """Have the receiver look, though nothing was added."""
+        """Wake the receiver although no item was added."""
         self._ready.set()
 
     async def wait(self) -> bool:
-        """Wait for items or a call; false once closed and drained."""
+        """Wait for items or a wake-up.
+
+        :returns: whether to go on: false once closed and drained
+        """
         await self._ready.wait()
         return bool(self._items) or not self._closed
 
@@ -47,7 +50,7 @@
         return items
 
     def close(self) -> None:
-        """Let the receiver finish with what is there."""
+        """Accept no more items; those in the queue can still be taken."""
         self._closed = True
         self._ready.set()
 
