--- a/src/honeyport/standin/__init__.py
+++ b/src/honeyport/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems that honeyport meets."""
+"""Stand-ins for the systems around honeyport, for tests and demos."""
--- a/src/honeyport/standin/engine_api.py
+++ b/src/honeyport/standin/engine_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of the stand-in engine."""
+"""HTTP API of the stand-in engine."""
 
 import hashlib
 import json
@@ -12,14 +12,14 @@
 
 
 class Handler(web.RequestHandler):
-    """Base: every handler knows the engine."""
+    """Base class of the handlers, which holds the engine."""
 
     def initialize(self, engine: engines.Engine) -> None:
         self._engine = engine
 
 
 class ChatHandler(Handler):
-    """``POST /v1/chat/completions``."""
+    """``POST /v1/chat/completions``: start an answer, streamed or whole."""
 
     async def post(self) -> None:
         if self._engine.busy:
@@ -28,27 +28,30 @@
         body = json.loads(self.request.body)
         headers = self.request.headers
         request_id = headers.get('X-Request-Id', '')
-        stream, hit = self._engine.start(
+        stream, cache_hit = self._engine.start(
             request_id,
             headers.get('Idempotency-Key', ''),
             headers.get('Honeyport-Chat', ''),
             body,
         )
-        self.set_header('X-Cache', 'hit' if hit else 'miss')
+        self.set_header('X-Cache', 'hit' if cache_hit else 'miss')
         if body.get('stream'):
             await send_events(self, stream, 0)
         else:
             await self._send_whole(stream)
 
     async def _send_whole(self, stream: engines.Stream) -> None:
-        async with stream.grown:
-            await stream.grown.wait_for(lambda: stream.done)
+        async with stream.changed:
+            await stream.changed.wait_for(lambda: stream.done)
         if stream.cancelled:
             self.set_status(500)
             return
-        words = [json.loads(e.split(b'data: ')[1]) for e in stream.events[:-1]]
+        chunks = [
+            json.loads(event.split(b'data: ')[1])
+            for event in stream.events[:-1]
+        ]
         content = ' '.join(
-            word['choices'][0]['delta']['content'] for word in words
+            chunk['choices'][0]['delta']['content'] for chunk in chunks
         )
         message = {'role': 'assistant', 'content': content}
         self.write(
@@ -67,19 +70,19 @@
         await send_events(self, stream, int(self.get_argument('after', '0')))
 
     async def delete(self, request_id: str) -> None:
-        found = await self._engine.cancel(request_id)
-        self.set_status(200 if found else 404)
+        was_running = await self._engine.cancel(request_id)
+        self.set_status(200 if was_running else 404)
 
 
 class LoadHandler(Handler):
-    """``GET /load``: late."""
+    """``GET /load``: a delayed load report."""
 
     def get(self) -> None:
         self.write(self._engine.load())
 
 
 class CacheHandler(Handler):
-    """``GET /cache/events?after=N``: with every seventh one missing."""
+    """``GET /cache/events?after=N``: omits every seventh event."""
 
     def get(self) -> None:
         after = int(self.get_argument('after', '0'))
@@ -105,13 +108,13 @@
 
 
 class OrderHandler(Handler):
-    """``POST /orders``: what to load and be; ``GET``: the state."""
+    """``/orders``: apply an order with POST, read the state with GET."""
 
     def get(self) -> None:
         self.write(self._engine.state())
 
     def post(self) -> None:
-        if not self._engine.obey(json.loads(self.request.body)):
+        if not self._engine.apply_order(json.loads(self.request.body)):
             self.set_status(409)
         self.write(self._engine.state())
 
@@ -119,15 +122,15 @@
 async def send_events(
     handler: web.RequestHandler, stream: engines.Stream, after: int
 ) -> None:
-    """Write a stream's events from a number on, as they come."""
+    """Write a stream's events after a number as they are generated."""
     handler.set_header('Content-Type', 'text/event-stream')
     position = after
     stream.readers += 1
     try:
         while True:
-            async with stream.grown:
+            async with stream.changed:
                 while len(stream.events) <= position and not stream.done:
-                    await stream.grown.wait()
+                    await stream.changed.wait()
             events = stream.events[position:]
             position += len(events)
             if events:
@@ -144,7 +147,7 @@
 
 
 def application(engine: engines.Engine) -> web.Application:
-    """Return the engine's HTTP application."""
+    """Return the HTTP application of an engine."""
     arguments = {'engine': engine}
     return web.Application(
         [
@@ -162,7 +165,7 @@
 async def start(
     settings: roles.Engine, tree: supervisor.Supervisor
 ) -> engines.Engine:
-    """Serve a stand-in engine."""
+    """Start the HTTP server of a stand-in engine; return the engine."""
     engine = engines.Engine(settings)
     host, port = roles.split_address(settings.listen)
     server = application(engine).listen(port, host)
--- a/src/honeyport/standin/executions.py
+++ b/src/honeyport/standin/executions.py
@@ -1,4 +1,4 @@
-"""The log of executions: one JSON line for each thing that really ran."""
+"""Execution log: one JSON line for each event that really happened."""
 
 import json
 import pathlib
@@ -7,10 +7,10 @@
 
 
 class Executions:
-    """Appends to a file; without one it keeps nothing.
+    """Appends executions to a file.
 
-    :param path: the file, or ``''``
-    :param instance: who ran it
+    :param path: the file, or ``''`` to discard the lines
+    :param instance: name of the instance that writes
     """
 
     def __init__(self, path: str, instance: str) -> None:
@@ -21,9 +21,10 @@
             self._file = open(path, 'a', buffering=1, encoding='utf-8')
 
     def write(self, event: str, **fields: typing.Any) -> None:
-        """Write one line.
+        """Append one line.
 
-        :param event: start, end or cancel
+        :param event: what happened, such as start, end or cancel
+        :param fields: further fields of the line
         """
         if self._file is None:
             return
--- a/src/honeyport/standin/instances.py
+++ b/src/honeyport/standin/instances.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of instances, which lags."""
+"""A stand-in for the platform's instance list, which lags behind."""
 
 import asyncio
 import collections
@@ -11,47 +11,50 @@
 
 
 class InstanceList:
-    """What is known of instances, shown a while later."""
+    """Instance states, visible ``lag_s`` seconds after each change."""
 
     def __init__(self, settings: roles.InstanceList) -> None:
         self._lag_s = settings.lag_s
-        self._shown = dict(settings.instances)
-        self._coming: collections.deque[tuple[float, str, str]] = (
+        self._visible = dict(settings.instances)
+        self._pending: collections.deque[tuple[float, str, str]] = (
             collections.deque()
         )
 
-    def change(self, name: str, state: str) -> None:
-        """Note that an instance is live, leaving or gone."""
+    def set_state(self, name: str, state: str) -> None:
+        """Schedule a change of an instance's state.
+
+        :param state: live, leaving or gone
+        """
         now = asyncio.get_running_loop().time()
-        self._coming.append((now + self._lag_s, name, state))
+        self._pending.append((now + self._lag_s, name, state))
 
-    def show(self) -> dict[str, str]:
-        """Return the list as it was."""
+    def visible(self) -> dict[str, str]:
+        """Return the visible states, by instance."""
         now = asyncio.get_running_loop().time()
-        while self._coming and self._coming[0][0] <= now:
-            _, name, state = self._coming.popleft()
-            self._shown[name] = state
-        return self._shown
+        while self._pending and self._pending[0][0] <= now:
+            _, name, state = self._pending.popleft()
+            self._visible[name] = state
+        return self._visible
 
 
 class ListHandler(web.RequestHandler):
-    """``GET /instances``, and ``POST`` of changes by tests."""
+    """``/instances``: read with GET; tests change states with POST."""
 
     def initialize(self, instances: InstanceList) -> None:
         self._instances = instances
 
     def get(self) -> None:
-        self.write(self._instances.show())
+        self.write(self._instances.visible())
 
     def post(self) -> None:
         for name, state in json.loads(self.request.body).items():
-            self._instances.change(name, state)
+            self._instances.set_state(name, state)
 
 
 async def start(
     settings: roles.InstanceList, tree: supervisor.Supervisor
 ) -> None:
-    """Serve a stand-in instance list."""
+    """Start the HTTP server of a stand-in instance list."""
     arguments = {'instances': InstanceList(settings)}
     application = web.Application(
         [('/instances', ListHandler, arguments)], log_function=lambda _: None
--- a/src/honeyport/standin/service.py
+++ b/src/honeyport/standin/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service, such as the one that files permits."""
+"""A stand-in for a plain HTTP service."""
 
 import asyncio
 import hashlib
@@ -12,15 +12,15 @@
 from honeyport import supervisor
 
 
-_ENDED = 3  # exit code of a process that a call ends
+_CRASH_EXIT_CODE = 3
 
 
 class CallHandler(web.RequestHandler):
-    """Does its work, logs it, and answers with a digest of the request.
+    """Simulates work, logs it and answers with a digest of the request.
 
     ``?close=1`` closes the connection after the work, without an answer;
-    ``?slow=MS`` takes that much longer; ``?end=1`` ends the process in the
-    middle of the work.
+    ``?slow=MS`` adds a delay in milliseconds; ``?end=1`` ends the process
+    before the work is complete.
     """
 
     def initialize(
@@ -30,26 +30,26 @@
         self._settings = settings
 
     async def get(self) -> None:
-        await self._work()
+        await self._handle()
 
     async def post(self) -> None:
-        await self._work()
+        await self._handle()
 
     async def put(self) -> None:
-        await self._work()
+        await self._handle()
 
     async def delete(self) -> None:
-        await self._work()
+        await self._handle()
 
-    async def _work(self) -> None:
+    async def _handle(self) -> None:
         headers = self.request.headers
         request_id = headers.get('X-Request-Id', '')
         key = headers.get('Idempotency-Key', '')
         self._executions.write('start', request_id=request_id, key=key)
-        slow_ms = float(self.get_query_argument('slow', '0'))
-        await asyncio.sleep((self._settings.work_ms + slow_ms) / 1000)
+        delay_ms = float(self.get_query_argument('slow', '0'))
+        await asyncio.sleep((self._settings.work_ms + delay_ms) / 1000)
         if self.get_query_argument('end', ''):
-            os._exit(_ENDED)
+            os._exit(_CRASH_EXIT_CODE)
         body = json.dumps(
             {
                 'served_by': self._settings.name,
@@ -72,14 +72,14 @@
 
 
 class HealthHandler(web.RequestHandler):
-    """``GET /healthz``."""
+    """``GET /healthz``: always healthy."""
 
     def get(self) -> None:
         self.write('ok')
 
 
 async def start(settings: roles.Service, tree: supervisor.Supervisor) -> None:
-    """Serve a stand-in service."""
+    """Start the HTTP server of a stand-in service."""
     log = executions.Executions(settings.executions, settings.name)
     arguments = {'log': log, 'settings': settings}
     application = web.Application(
--- a/src/honeyport/standin/weights.py
+++ b/src/honeyport/standin/weights.py
@@ -1,6 +1,6 @@
-"""A stand-in for the weight store, which is rate-limited.
+"""A stand-in for the weight store, which limits concurrent downloads.
 
-It sends a few models at once, and refuses any more with 429.
+Downloads over the limit are refused with status 429.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class WeightHandler(web.RequestHandler):
-    """``GET /weights/MODEL/VERSION``."""
+    """``GET /weights/MODEL/VERSION``: download the weights of a model."""
 
     running = 0
 
@@ -23,16 +23,16 @@
         self._executions = log
         self._settings = settings
 
-    async def get(self, name: str, version: str) -> None:
+    async def get(self, model: str, version: str) -> None:
         cls = type(self)
         if cls.running >= self._settings.at_once:
-            self._executions.write('refused', model=name, version=version)
+            self._executions.write('refused', model=model, version=version)
             self.set_status(429)
             return
         cls.running += 1
         try:
             self._executions.write(
-                'load', model=name, version=version, running=cls.running
+                'load', model=model, version=version, running=cls.running
             )
             await asyncio.sleep(self._settings.load_ms / 1000)
             self.write('weights')
@@ -43,7 +43,7 @@
 async def start(
     settings: roles.WeightStore, tree: supervisor.Supervisor
 ) -> None:
-    """Serve a stand-in weight store."""
+    """Start the HTTP server of a stand-in weight store."""
     arguments = {
         'log': executions.Executions(settings.executions, settings.name),
         'settings': settings,
--- a/src/honeyport/wire/__init__.py
+++ b/src/honeyport/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between honeyport processes."""
+"""Messages between honeyport processes, and their transport."""
