--- a/src/honeyport/backend/connection_errors.py
+++ b/src/honeyport/backend/connection_errors.py
@@ -12,7 +12,7 @@
 
 
 def error_class(cause: BaseException) -> type[errors.NotSent]:
-    """Return the error class to raise for a failed connection attempt."""
+    """Return the error for a connection that could not be made."""
     if isinstance(cause, ConnectionRefusedError):
         return errors.ConnectionRefused
     return errors.NotSent
