--- a/src/honeyport/__init__.py
+++ b/src/honeyport/__init__.py
@@ -1,3 +1,3 @@
-"""Honeyport: a router fleet for returning chats on few, large engines."""
+"""Honeyport: a router fleet that sends chats to engines with their cache."""
 
 __version__ = '0.1.0'
--- a/src/honeyport/__main__.py
+++ b/src/honeyport/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m honeyport``."""
+"""Entry point of ``python -m honeyport``."""
 
 from honeyport import cli
 
--- a/src/honeyport/clock.py
+++ b/src/honeyport/clock.py
@@ -1,10 +1,8 @@
-"""The clock by which this process measures all that ends with time.
+"""The clock of this process for leases, deadlines and timeouts.
 
-A machine may be suspended and wake. The steady clock does not count that
-time, so that a lease would outlive it: a gateway that was suspended for 6 s
-ran a request with a key that had been taken away, and a leader answered with
-the configuration before the one in force. ``CLOCK_BOOTTIME`` counts it, and
-no one sets it, as one sets the time of day.
+``CLOCK_MONOTONIC`` stops while the machine is suspended, so a lease could
+still seem valid after the resume. ``CLOCK_BOOTTIME`` includes suspensions and
+is never set, unlike the time of day.
 """
 
 import asyncio
@@ -12,15 +10,15 @@
 
 
 def now() -> float:
-    """Return the seconds since the machine started, suspensions included."""
+    """Return the seconds since boot, including time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop that counts suspensions.
+    """An event loop whose time includes suspensions of the machine.
 
-    Whatever was due meanwhile is due as soon as the machine wakes; what
-    arrived on a socket is read first and sees the time as it is.
+    Timers that expired during a suspension fire when the machine resumes;
+    sockets are read first.
     """
 
     def time(self) -> float:
@@ -29,5 +27,5 @@
 
 
 def new_loop() -> Loop:
-    """Return an event loop for a process."""
+    """Return a new event loop; a factory for ``asyncio.Runner``."""
     return Loop()
--- a/src/honeyport/local.py
+++ b/src/honeyport/local.py
@@ -1,4 +1,4 @@
-"""``honeyport local``: a whole small site in one process, with a try-out."""
+"""``honeyport local``: a small site in one process, with example requests."""
 
 import asyncio
 import contextlib
@@ -25,16 +25,18 @@
 
 _DOMAIN = 'thu-duc'
 _ACCOUNT = 'try-out'
-_READY_S = 20.0
-# Tests that run at the same time set one each.
+_START_TIMEOUT_S = 20.0
+# Loopback address of all servers. Parallel test processes set their own.
 HOST = '127.0.0.2'
-_TAKEN: set[str] = set()
-_QUESTION = [{'role': 'user', 'content': 'The swing has a cracked bolt.'}]
+_ALLOCATED_ADDRESSES: set[str] = set()
+_EXAMPLE_MESSAGES = [
+    {'role': 'user', 'content': 'The swing has a cracked bolt.'}
+]
 
 
 @attrs.frozen
 class Site:
-    """The addresses of a local site."""
+    """The addresses (``IP:PORT``) of a local site."""
 
     router: str
     engines: tuple[str, ...]
@@ -42,9 +44,9 @@
 
 
 def run(keep: bool = False) -> None:
-    """Start a site, send two requests through it, and stop.
+    """Start a site, send two example requests to it, and stop it.
 
-    :param keep: go on serving until interrupted
+    :param keep: keep serving until interrupted
     """
     logs.configure('warning', instance='local')
     with tempfile.TemporaryDirectory(prefix='honeyport-') as folder:
@@ -58,7 +60,7 @@
     try:
         site = await start(folder, tree)
         print(f'router on http://{site.router}')
-        await try_out(site)
+        await send_examples(site)
         if keep:
             await asyncio.Event().wait()
     finally:
@@ -67,7 +69,12 @@
 
 
 async def start(folder: pathlib.Path, tree: supervisor.Supervisor) -> Site:
-    """Start one control replica, one router and three backend servers."""
+    """Start a control replica, a router and three backend servers.
+
+    :param folder: folder for keys and data
+    :returns: the site, whose router is ready to serve
+    :raises TimeoutError: if the router does not get ready in time
+    """
     site = Site(
         free_address(), (free_address(), free_address()), free_address()
     )
@@ -86,8 +93,8 @@
     public = signing.write_new_key(str(folder), 'local')
     signed = _bundle(site, public)
     signed = signing.sign(signed, str(folder / 'local.pem'))
-    seed = folder / 'bundle.json'
-    seed.write_text(signed.to_json(), encoding='utf-8')
+    seed_path = folder / 'bundle.json'
+    seed_path.write_text(signed.to_json(), encoding='utf-8')
     await control_daemon.start(
         roles.Control(
             name='control',
@@ -96,7 +103,7 @@
             data=str(folder / 'data'),
             members={'control': control},
             signers={'local': public},
-            seed=str(seed),
+            seed=str(seed_path),
             election_ms=100,
             heartbeat_ms=30,
         ),
@@ -112,42 +119,44 @@
         ),
         tree,
     )
-    async with asyncio.timeout(_READY_S):
+    async with asyncio.timeout(_START_TIMEOUT_S):
         while not router.state.version or router.state.lease_left <= 0:
             await asyncio.sleep(0.02)
     return site
 
 
-async def try_out(site: Site) -> None:
-    """Send a chat and a filing; print the answers and who gave them."""
+async def send_examples(site: Site) -> None:
+    """Send a chat and a report; print the answers and their instances."""
     caller = client.Client([site.router], _ACCOUNT)
     try:
         print('chat:')
         body = b''
-        async for payload in caller.chat('draft-llm', 'yard-17', _QUESTION):
+        async for payload in caller.chat(
+            'draft-llm', 'yard-17', _EXAMPLE_MESSAGES
+        ):
             body += payload
-        print('  ' + _text(body))
+        print('  ' + _join_tokens(body))
         print(f'  served by {caller.placement("draft-llm", "yard-17")}')
         print('filing:')
-        filed = await caller.call(
+        response = await caller.call(
             'field-app', 'POST', '/reports', b'{"yard": 17}'
         )
-        print(f'  {filed.status} {filed.body.decode()}')
+        print(f'  {response.status} {response.body.decode()}')
     finally:
         caller.close()
 
 
 def free_address() -> str:
-    """Return a loopback address whose port the system chose.
+    """Return ``IP:PORT`` of a free port on ``HOST``, each only once.
 
-    It is not on 127.0.0.1, where connections that go out take ports.
+    ``HOST`` is not 127.0.0.1, whose ports outgoing connections use.
     """
     while True:
         with socket.socket() as probe:
             probe.bind((HOST, 0))
             address = f'{HOST}:{probe.getsockname()[1]}'
-        if address not in _TAKEN:
-            _TAKEN.add(address)
+        if address not in _ALLOCATED_ADDRESSES:
+            _ALLOCATED_ADDRESSES.add(address)
             return address
 
 
@@ -176,11 +185,14 @@
     return signing.Signed(1, entries.to_entries(bundle), {})
 
 
-def _text(stream: bytes) -> str:
-    """Return the words of a streamed answer."""
-    words = []
+def _join_tokens(stream: bytes) -> str:
+    """Return the text of a streamed chat answer.
+
+    :param stream: the server-sent events
+    """
+    tokens = []
     for line in stream.decode().splitlines():
         if line.startswith('data: {'):
             chunk = json.loads(line[len('data: ') :])
-            words.append(chunk['choices'][0]['delta']['content'])
-    return ' '.join(words)
+            tokens.append(chunk['choices'][0]['delta']['content'])
+    return ' '.join(tokens)
--- a/src/honeyport/reference.py
+++ b/src/honeyport/reference.py
@@ -1,4 +1,4 @@
-"""Reference pages that are written from the code itself."""
+"""Generate the reference pages from the code."""
 
 import pathlib
 import typing
@@ -10,7 +10,7 @@
 from honeyport.settings import roles
 from honeyport.telemetry import events
 
-_ROLES = (
+_SETTINGS_CLASSES = (
     roles.Router,
     roles.Control,
     roles.Engine,
@@ -18,7 +18,7 @@
     roles.WeightStore,
     roles.InstanceList,
 )
-_BUNDLE = (
+_BUNDLE_CLASSES = (
     model.Bundle,
     model.Signers,
     model.Service,
@@ -30,11 +30,11 @@
     model.Timing,
     model.Limits,
 )
-_RAN = {True: 'ran', False: 'not run', None: 'may have run'}
+_RAN_LABELS = {True: 'ran', False: 'not run', None: 'may have run'}
 
 
 def write(folder: str | pathlib.Path) -> list[str]:
-    """Write all pages into a folder; return their names."""
+    """Write all pages into a folder; return their sorted file names."""
     pages = render()
     for name, text in pages.items():
         pathlib.Path(folder, name).write_text(text, encoding='utf-8')
@@ -42,7 +42,7 @@
 
 
 def render() -> dict[str, str]:
-    """Return the text of every page by its file name."""
+    """Return all pages: file name to text."""
     return {
         'events.md': _events(),
         'errors.md': _errors(),
@@ -55,15 +55,15 @@
     lines = [
         '# Log events',
         '',
-        'Every log line is JSON and carries the number of its event. A',
-        'number never changes its meaning.',
+        'Every log line is a JSON object with the number of its event. A',
+        'number is never reused for another event.',
         '',
         '| number | event | level | meaning |',
         '| --- | --- | --- | --- |',
     ]
     lines += [
-        f'| {one.number} | {one.name} | {one.level} | {one.meaning} |'
-        for one in events.catalogue()
+        f'| {event.number} | {event.name} | {event.level} | {event.meaning} |'
+        for event in events.catalogue()
     ]
     return '\n'.join(lines) + '\n'
 
@@ -73,16 +73,16 @@
         '# Error codes',
         '',
         'Callers get `{"error": {...}}` with the code, what to do, whether',
-        'the request ran (`ran`: true, false, or null where nobody can',
-        'know), and `Retry-After` where coming back makes sense. For a',
-        'request with an idempotency key, `ran: false` is said only after',
-        'its claim was given back.',
+        'the request ran (`ran`: true, false, or null if that is unknown),',
+        'and `Retry-After` if a retry makes sense. For a request with an',
+        'idempotency key, `ran: false` is sent only after the claim on the',
+        'key was released.',
         '',
         '| code | type | HTTP | the request | what to do |',
         '| --- | --- | --- | --- | --- |',
     ]
     lines += [
-        f'| {code} | {cls.__name__} | {cls.status} | {_RAN[cls.ran]} '
+        f'| {code} | {cls.__name__} | {cls.status} | {_RAN_LABELS[cls.ran]} '
         f'| {cls.hint} |'
         for code, cls in sorted(errors.registry().items())
     ]
@@ -93,11 +93,11 @@
     lines = [
         '# Settings of the roles',
         '',
-        'One YAML file a process. Unknown fields, wrong types and wrong',
-        'values end the process with code 2 and the line that is wrong.',
+        'Each process reads one YAML file. It exits with code 2 on unknown',
+        'fields, wrong types and invalid values, and names the line.',
         '',
     ]
-    for cls in _ROLES:
+    for cls in _SETTINGS_CLASSES:
         lines += _table(cls)
     return '\n'.join(lines)
 
@@ -107,10 +107,10 @@
         '# The bundle',
         '',
         'The signed configuration of a fleet, in YAML. `honeyport bundle',
-        'check` names file, line and field of anything wrong.',
+        'check` reports the file, line and field of each error.',
         '',
     ]
-    for cls in _BUNDLE:
+    for cls in _BUNDLE_CLASSES:
         lines += _table(cls)
     return '\n'.join(lines)
 
@@ -128,22 +128,22 @@
     for field in attrs.fields(cls):
         meaning = field.metadata.get('doc', '')
         lines.append(
-            f'| {field.name} | `{_type(field.type)}` | {_default(field)} '
-            f'| {meaning} |'
+            f'| {field.name} | `{_format_type(field.type)}` '
+            f'| {_format_default(field)} | {meaning} |'
         )
     return [*lines, '']
 
 
-def _type(kind: typing.Any) -> str:
-    text = getattr(kind, '__name__', str(kind))
-    if typing.get_args(kind):
-        text = str(kind).replace('honeyport.bundle.model.', '')
+def _format_type(field_type: typing.Any) -> str:
+    text = getattr(field_type, '__name__', str(field_type))
+    if typing.get_args(field_type):
+        text = str(field_type).replace('honeyport.bundle.model.', '')
     return text.replace('|', 'or')
 
 
-def _default(field: typing.Any) -> str:
+def _format_default(field: typing.Any) -> str:
     if field.default is attrs.NOTHING:
-        return 'must be given'
+        return 'required'
     if hasattr(field.default, 'factory'):
         return 'see its table' if attrs.has(field.type) else 'none'
     return f'`{field.default}`'
--- a/src/honeyport/signals.py
+++ b/src/honeyport/signals.py
@@ -1,14 +1,14 @@
-"""Signals that come before a process can act on them.
+"""Handling of signals that arrive while a process starts.
 
-Only the standard library is used here, so that this is imported at once.
+Imports only the standard library, so that it is loaded quickly.
 """
 
 import signal
 
 
 def ignore_reload() -> None:
-    """Ignore SIGHUP until there is a handler; its default ends a process.
+    """Ignore SIGHUP, which would end the process, until a handler is set.
 
-    What it told of is not lost: settings are read after this.
+    No reload is lost, since the settings are read later.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
