--- a/features/docs/played.feature
+++ b/features/docs/played.feature
@@ -1,10 +1,10 @@
-Feature: A landing without a run of its own source is noticed
+Feature: A warning names source files that changed since the last journal run
 
-  # Operators were sent to no address by a refactoring that came after the last
-  # run; the page on the round said "on the final source" all the same.
+  # Guards against figures in reports that were measured on another source, as
+  # after a late refactoring.
 
-  Scenario Outline: what changed after the newest run
-    Given a tree whose journal has a run of it as it was committed
+  Scenario Outline: files that changed since the nearest run are named
+    Given a repository whose journal has a run of its commit
     When <change>
     Then the warning names <files>
 
@@ -18,8 +18,8 @@
       | the file docs/page.md is changed                  | nothing    |
       | the file src/a.py changes before a run            | nothing    |
       | the file src/a.py changes before a run and after it | src/a.py |
-      | a trial on a copy is the newest run                 | nothing  |
+      | the newest run is a trial on a copy                 | nothing  |
 
-  Scenario: a journal without a run
-    Given a tree without a run
-    Then the warning says "the journal has no run"
+  Scenario: a journal without a run is reported
+    Given a repository whose journal has no run
+    Then the warning contains "the journal has no run"
--- a/features/steps/played_steps.py
+++ b/features/steps/played_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the journal of runs, against the source as it stands."""
+"""Steps that compare the source with the runs in the journal."""
 
 import hashlib
 import json
@@ -9,21 +9,21 @@
 from bench import played
 
 _FILES = ('src/a.py', 'src/b.py', 'docs/page.md')
-_FIRST = '20260101T000000-1.json'
-_SECOND = '20260102T000000-2.json'
+_FIRST_RUN = '20260101T000000-1.json'
+_SECOND_RUN = '20260102T000000-2.json'
 
 
-@behave.given('a tree whose journal has a run of it as it was committed')
-def step_tree(context):
+@behave.given('a repository whose journal has a run of its commit')
+def step_repository(context):
     step_no_run(context)
-    _note_run(context, _FIRST, {})
+    _record_run(context, _FIRST_RUN, {})
 
 
-@behave.given('a tree without a run')
+@behave.given('a repository whose journal has no run')
 def step_no_run(context):
     context.root = context.folder / 'tree'
     for name in (*_FILES, 'journal/README'):
-        _write(context, name, 'as it was')
+        _write(context, name, 'committed')
     _git(context, 'init', '-q')
     _commit(context)
 
@@ -53,8 +53,10 @@
 @behave.when('the file {name} changes before a run')
 def step_run_of_change(context, name):
     _write(context, name, 'changed')
-    text = (context.root / name).read_bytes()
-    _note_run(context, _SECOND, {name: hashlib.sha256(text).hexdigest()})
+    content = (context.root / name).read_bytes()
+    _record_run(
+        context, _SECOND_RUN, {name: hashlib.sha256(content).hexdigest()}
+    )
 
 
 @behave.when('the file {name} changes before a run and after it')
@@ -63,24 +65,24 @@
     _write(context, name, 'changed again')
 
 
-@behave.when('a trial on a copy is the newest run')
+@behave.when('the newest run is a trial on a copy')
 def step_trial(context):
-    _note_run(context, _SECOND, {'src/a.py': 'of other contents'})
+    _record_run(context, _SECOND_RUN, {'src/a.py': 'digest of other contents'})
 
 
 @behave.then('the warning names {files}')
 def step_warning(context, files):
-    found = played.warning(context.root)
+    warning = played.warning(context.root)
     if files == 'nothing':
-        assert not found, found
+        assert not warning, warning
     else:
-        assert found.endswith(f': {files}'), found
+        assert warning.endswith(f': {files}'), warning
 
 
-@behave.then('the warning says "{text}"')
-def step_says(context, text):
-    found = played.warning(context.root)
-    assert text in found, found
+@behave.then('the warning contains "{text}"')
+def step_contains(context, text):
+    warning = played.warning(context.root)
+    assert text in warning, warning
 
 
 def _write(context, name, text):
@@ -95,19 +97,26 @@
     _git(context, *author, 'commit', '-q', '-m', 'a commit')
 
 
-def _note_run(context, name, files):
+def _record_run(context, name, files):
+    """Write a journal entry about a run.
+
+    :param name: file name of the entry
+    :param files: path to SHA-256 of the files that differ from the commit
+    """
     base = _git(context, 'rev-parse', 'HEAD').strip()
-    listed = [{'path': one, 'sha256': sum_} for one, sum_ in files.items()]
-    tree = {'base': base, 'files': listed}
+    file_entries = [
+        {'path': path, 'sha256': digest} for path, digest in files.items()
+    ]
+    tree = {'base': base, 'files': file_entries}
     entry = {'head': base, 'tree': tree}
     _write(context, f'journal/{name}', json.dumps(entry))
 
 
 def _git(context, *arguments):
-    found = subprocess.run(
+    completed = subprocess.run(
         ['git', '-C', str(context.root), *arguments],
         capture_output=True,
         text=True,
         check=True,
     )
-    return found.stdout
+    return completed.stdout
