--- a/features/docs/reference.feature
+++ b/features/docs/reference.feature
@@ -1,11 +1,11 @@
-Feature: The pages tell what the code does
+Feature: Generated pages and examples match the code
 
-  Scenario: the reference pages are those that the code writes
-    Then every page under docs/reference is up to date
+  Scenario: the reference pages match the code
+    Then every page in docs/reference is up to date
 
-  Scenario: the examples are right
-    Then every settings file and bundle under examples is valid
-    And the signed bundles are those that were signed
+  Scenario: the examples are valid
+    Then every settings file and bundle in examples is valid
+    And each signed bundle matches its YAML file and its signers
 
-  Scenario: the capacity page is made from the measurements
-    Then the tables of docs/CAPACITY.md are those of bench/results.json
+  Scenario: the capacity page matches the measurements
+    Then the tables of docs/CAPACITY.md match bench/results.json
--- a/features/settings/document.feature
+++ b/features/settings/document.feature
@@ -1,9 +1,9 @@
-Feature: Wrong settings and bundles name file, line, field and remedy
+Feature: Errors in settings and bundles name file, line, field and expected value
 
-  Scenario Outline: a wrong file is refused with the line
+  Scenario Outline: an invalid file is rejected with the line of the error
     Given a file with the lines <lines>
-    When it is read as <kind>
-    Then it is refused at line <line> with "<message>"
+    When it is read as a <kind>
+    Then it is rejected at line <line> with "<message>"
 
     Examples:
       | lines                                          | kind    | line | message                     |
@@ -16,7 +16,7 @@
       | version: 0                                     | bundle  | 1    | at least 1                  |
       | version: 1; signers: {keys: {}}                | bundle  | 1    | the field is missing        |
 
-  Scenario: the command ends with code 2 and without a traceback
+  Scenario: the command exits with code 2 and prints no traceback
     Given a file with the lines name: r; domain: d; listen: x
-    When the router command is run with it
-    Then it ends with code 2, names the line, and shows no traceback
+    When the router command is run with the file
+    Then it exits with code 2, prints the line and no traceback
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about small parts: documents, placement, shares, offsets."""
+"""Steps about documents, placement, fair queues and stream offsets."""
 
 import asyncio
 import collections
@@ -23,7 +23,7 @@
 from honeyport.settings import roles
 
 _ROOT = pathlib.Path(__file__).parent.parent.parent
-_KINDS = {'router': roles.Router, 'bundle': model.Bundle}
+_CLASSES = {'router': roles.Router, 'bundle': model.Bundle}
 
 
 @behave.given('a file with the lines {lines}')
@@ -32,26 +32,26 @@
     context.file.write_text(lines.replace('; ', '\n') + '\n')
 
 
-@behave.when('it is read as {kind}')
+@behave.when('it is read as a {kind}')
 def step_read(context, kind):
     try:
-        document.load(context.file, _KINDS[kind])
+        document.load(context.file, _CLASSES[kind])
     except errors.HoneyportError as error:
         context.error = error
         return
-    raise AssertionError('it was read')
+    raise AssertionError('the file was accepted')
 
 
-@behave.then('it is refused at line {line:d} with "{message}"')
-def step_refused_at(context, line, message):
+@behave.then('it is rejected at line {line:d} with "{message}"')
+def step_rejected_at(context, line, message):
     detail = context.error.detail
     assert f'given.yaml:{line}:' in detail, detail
     assert message in detail, detail
 
 
-@behave.when('the router command is run with it')
+@behave.when('the router command is run with the file')
 def step_command(context):
-    context.ended = subprocess.run(
+    context.completed = subprocess.run(
         [sys.executable, '-m', 'honeyport', 'router', str(context.file)],
         capture_output=True,
         text=True,
@@ -59,39 +59,41 @@
     )
 
 
-@behave.then('it ends with code 2, names the line, and shows no traceback')
-def step_code(context):
-    assert context.ended.returncode == 2, context.ended
-    assert 'given.yaml:3: listen' in context.ended.stderr
-    assert 'Traceback' not in context.ended.stderr
+@behave.then('it exits with code 2, prints the line and no traceback')
+def step_exit_code(context):
+    assert context.completed.returncode == 2, context.completed
+    assert 'given.yaml:3: listen' in context.completed.stderr
+    assert 'Traceback' not in context.completed.stderr
 
 
-@behave.then('every page under docs/reference is up to date')
+@behave.then('every page in docs/reference is up to date')
 def step_reference(context):
     folder = _ROOT / 'docs' / 'reference'
     for name, text in reference.render().items():
         assert (folder / name).read_text() == text, name
 
 
-@behave.then('every settings file and bundle under examples is valid')
+@behave.then('every settings file and bundle in examples is valid')
 def step_examples(context):
-    kinds = {
+    classes_by_name = {
         'control': roles.Control,
         'router': roles.Router,
         'instances': roles.InstanceList,
         'llm': roles.Engine,
     }
-    found = list((_ROOT / 'examples').rglob('*.yaml'))
-    assert len(found) > 40
-    for path in found:
+    paths = list((_ROOT / 'examples').rglob('*.yaml'))
+    assert len(paths) > 40
+    for path in paths:
         if path.name == 'bundle.yaml':
             files.load(path)
             continue
-        matches = [c for key, c in kinds.items() if key in path.name]
+        matches = [
+            cls for key, cls in classes_by_name.items() if key in path.name
+        ]
         document.load(path, matches[0] if matches else roles.Service)
 
 
-@behave.then('the signed bundles are those that were signed')
+@behave.then('each signed bundle matches its YAML file and its signers')
 def step_signed(context):
     for path in (_ROOT / 'examples').rglob('bundle.json'):
         signed = signing.from_json(path.read_text())
@@ -100,7 +102,7 @@
         signing.verify(signed, bundle.signers)
 
 
-@behave.then('the tables of docs/CAPACITY.md are those of bench/results.json')
+@behave.then('the tables of docs/CAPACITY.md match bench/results.json')
 def step_capacity(context):
     results = json.loads((_ROOT / 'bench' / 'results.json').read_text())
     page = (_ROOT / 'docs' / 'CAPACITY.md').read_text()
@@ -111,10 +113,10 @@
 def step_placed(context, count, engines):
     context.engines = [f'engine-{number}' for number in range(engines)]
     context.chats = [f'chat-{number}' for number in range(count)]
-    context.before = place(context)
+    context.initial_engines = _place_chats(context)
 
 
-def place(context):
+def _place_chats(context):
     """Return the engine of every chat."""
     return {
         chat: hashing.rank(chat, context.engines, 1)[0]
@@ -123,31 +125,47 @@
 
 
 @behave.when('one engine goes')
-def step_goes(context):
+def step_engine_removed(context):
     context.changed = context.engines.pop(7)
 
 
 @behave.when('one engine comes')
-def step_comes(context):
+def step_engine_added(context):
     context.changed = 'engine-new'
     context.engines.append(context.changed)
 
 
 @behave.then('only its chats have moved, evenly to the others')
-def step_only(context):
-    after = place(context)
-    moved = {c for c in context.chats if after[c] != context.before[c]}
-    own = {c for c in context.chats if context.before[c] == context.changed}
-    assert moved == own
-    target = collections.Counter(after[chat] for chat in moved)
-    assert max(target.values()) <= 8, target
+def step_only_its_chats_moved(context):
+    new_engines = _place_chats(context)
+    moved = {
+        chat
+        for chat in context.chats
+        if new_engines[chat] != context.initial_engines[chat]
+    }
+    chats_of_removed = {
+        chat
+        for chat in context.chats
+        if context.initial_engines[chat] == context.changed
+    }
+    assert moved == chats_of_removed
+    moved_to = collections.Counter(
+        new_engines[moved_chat] for moved_chat in moved
+    )
+    assert max(moved_to.values()) <= 8, moved_to
 
 
 @behave.then('every chat that moved is on the new one, and it has its share')
-def step_new(context):
-    after = place(context)
-    moved = {c for c in context.chats if after[c] != context.before[c]}
-    assert {after[chat] for chat in moved} == {context.changed}
+def step_moved_to_new(context):
+    new_engines = _place_chats(context)
+    moved = {
+        chat
+        for chat in context.chats
+        if new_engines[chat] != context.initial_engines[chat]
+    }
+    assert {new_engines[moved_chat] for moved_chat in moved} == {
+        context.changed
+    }
     assert 25 <= len(moved) <= 80, len(moved)
 
 
@@ -159,11 +177,11 @@
     names = [f'engine-{number}' for number in range(engines)]
     loads = dict.fromkeys(names, 0)
     for total in range(count):
-        allowed = hashing.max_load(multiple, total, engines)
+        max_load = hashing.max_load(multiple, total, engines)
         ranked = hashing.rank(f'chat-{total % 60}', names, engines)
-        chosen = next(name for name in ranked if loads[name] < allowed)
+        chosen = next(name for name in ranked if loads[name] < max_load)
         loads[chosen] += 1
-        assert loads[chosen] <= allowed
+        assert loads[chosen] <= max_load
     assert max(loads.values()) <= -(-multiple * count // engines)
 
 
@@ -175,8 +193,10 @@
     names = [f'router-{number}' for number in range(routers)]
     for number in range(engines):
         key = f'engine-{number}'
-        winners = [n for n in names if hashing.is_top_ranked(n, key, names)]
-        assert winners == hashing.rank(key, names, 1)
+        stewards = [
+            name for name in names if hashing.is_top_ranked(name, key, names)
+        ]
+        assert stewards == hashing.rank(key, names, 1)
 
 
 @behave.given(
@@ -184,93 +204,97 @@
 )
 def step_waiting(context, account, count, share):
     if not hasattr(context, 'queue'):
-        context.unused = []
-        context.queue = shares.FairQueue(lambda: context.unused.append(1))
-        context.turns = []
-        context.waiting = []
+        context.returned_grants = []
+        context.queue = shares.FairQueue(
+            lambda: context.returned_grants.append(1)
+        )
+        context.granted_accounts = []
+        context.waiting_tasks = []
 
     async def wait():
         await context.queue.wait(account, share, 60)
-        context.turns.append(account)
+        context.granted_accounts.append(account)
 
-    async def begin():
+    async def start_waiting():
         for _ in range(count):
-            context.waiting.append(asyncio.ensure_future(wait()))
+            context.waiting_tasks.append(asyncio.ensure_future(wait()))
         await asyncio.sleep(0)
 
-    context.run(begin())
+    context.run(start_waiting())
 
 
 @behave.when('{count:d} turns are given')
 def step_turns_given(context, count):
-    async def give():
+    async def grant():
         for _ in range(count):
             assert context.queue.resolve_next(granted=True)
             await asyncio.sleep(0)
         await asyncio.sleep(0.01)
-        for task in context.waiting:
+        for task in context.waiting_tasks:
             task.cancel()
-        await asyncio.gather(*context.waiting, return_exceptions=True)
+        await asyncio.gather(*context.waiting_tasks, return_exceptions=True)
 
-    context.run(give())
+    context.run(grant())
 
 
 @behave.then('"{account}" got {count:d} of them')
-def step_got(context, account, count):
-    counted = collections.Counter(context.turns)
-    assert counted[account] == count, counted
+def step_granted(context, account, count):
+    grants = collections.Counter(context.granted_accounts)
+    assert grants[account] == count, grants
 
 
 @behave.when('the first of them is cancelled as it gets its turn')
-def step_cancel_turn(context):
+def step_cancel_granted(context):
     async def cancel():
         context.queue.resolve_next(granted=True)
-        context.waiting[0].cancel()
-        await asyncio.gather(context.waiting[0], return_exceptions=True)
-        context.waiting[1].cancel()
-        await asyncio.gather(context.waiting[1], return_exceptions=True)
+        context.waiting_tasks[0].cancel()
+        await asyncio.gather(context.waiting_tasks[0], return_exceptions=True)
+        context.waiting_tasks[1].cancel()
+        await asyncio.gather(context.waiting_tasks[1], return_exceptions=True)
 
     context.run(cancel())
 
 
 @behave.then('the room is given back')
-def step_room_back(context):
-    assert context.unused == [1], context.unused
+def step_slot_returned(context):
+    assert context.returned_grants == [1], context.returned_grants
     assert len(context.queue) == 0
 
 
 @behave.when('{count:d} random streams are cut at random places and resumed')
 def step_streams(context, count):
     generator = random.Random(13)
-    context.pairs = []
+    context.streams = []
     for _ in range(count):
         events = [
             f'id: {n}\ndata: {"x" * generator.randrange(30)}\n\n'.encode()
             for n in range(1, generator.randrange(2, 12))
         ]
-        context.pairs.append((b''.join(events), cut(events, generator)))
+        context.streams.append(
+            (b''.join(events), _resume_after_cuts(events, generator))
+        )
 
 
-def cut(events, generator):
-    """Return what a caller has after cuts and resumptions."""
+def _resume_after_cuts(events, generator):
+    """Return what a caller received of a stream with random cuts."""
     offset = resume.StreamOffset()
-    got = b''
+    received = b''
     while True:
-        rest = b''.join(events[offset.last_event :])
-        stop = generator.randrange(len(rest) + 1)
+        remaining = b''.join(events[offset.last_event :])
+        bytes_until_cut = generator.randrange(len(remaining) + 1)
         if generator.random() < 0.3:
-            stop = len(rest)
-        while rest and stop > 0:
-            size = min(stop, generator.randrange(1, 20))
-            got += offset.strip_received(rest[:size])
-            rest = rest[size:]
-            stop -= size
+            bytes_until_cut = len(remaining)
+        while remaining and bytes_until_cut > 0:
+            size = min(bytes_until_cut, generator.randrange(1, 20))
+            received += offset.strip_received(remaining[:size])
+            remaining = remaining[size:]
+            bytes_until_cut -= size
         if offset.last_event == len(events):
-            return got
+            return received
         offset.begin_resume()
 
 
 @behave.then('what the caller has is always the whole stream')
 def step_whole_stream(context):
-    for whole, got in context.pairs:
-        assert got == whole, (got, whole)
+    for sent, received in context.streams:
+        assert received == sent, (received, sent)
