--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m bench [NAME ...]``: measure, write, check the bounds."""
+"""Run benchmarks, write their results and check the regression bounds.
+
+Usage: ``python -m bench [NAME ...]``.
+"""
 
 import asyncio
 import json
@@ -24,7 +27,10 @@
 
 
 def main() -> int:
-    """Run the named benches, or all; exit with 1 past a bound."""
+    """Run the named benchmarks, or all.
+
+    :return: exit status, 1 if a figure exceeds its bound
+    """
     logs.configure('error', instance='bench')
     benches = registry.benches()
     names = sys.argv[1:] or list(benches)
@@ -40,35 +46,34 @@
             print(f'  {name}.{key} = {value}')
         text = json.dumps(results, indent=2, sort_keys=True)
         _RESULTS.write_text(text + '\n')
-    broken = _broken(results, names)
-    for line in broken:
-        print(f'past its bound: {line}')
-    return 1 if broken else 0
+    violations = _find_violations(results, names)
+    for violation in violations:
+        print(f'bound exceeded: {violation}')
+    return 1 if violations else 0
 
 
-def _broken(
+def _find_violations(
     results: dict[str, registry.Figures], names: list[str]
 ) -> list[str]:
-    """Return the figures that are past their bounds.
+    """Return a message for each figure that exceeds its bound.
 
-    A bound is a number, or the name of a figure of the same run and a
-    factor.
+    A bound is a number, or a factor of another figure (``BENCH.FIGURE``).
     """
     bounds = yaml.safe_load(_BOUNDS.read_text()) or {}
-    broken = []
-    for path, rule in bounds.items():
+    violations = []
+    for path, bound in bounds.items():
         bench, _, figure = path.partition('.')
         if bench not in names:
             continue
         value = results[bench][figure]
-        limit = rule.get('value', 0.0)
-        if 'of' in rule:
-            other, _, base = rule['of'].partition('.')
-            limit = results[other][base] * rule['times']
-        low = rule.get('kind') == 'at_least'
-        if value < limit if low else value > limit:
-            broken.append(f'{path} = {value}, bound {limit:.4f}')
-    return broken
+        limit = bound.get('value', 0.0)
+        if 'of' in bound:
+            base_bench, _, base_figure = bound['of'].partition('.')
+            limit = results[base_bench][base_figure] * bound['times']
+        is_minimum = bound.get('kind') == 'at_least'
+        if value < limit if is_minimum else value > limit:
+            violations.append(f'{path} = {value}, bound {limit:.4f}')
+    return violations
 
 
 if __name__ == '__main__':
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""The tables of docs/CAPACITY.md, from measured slopes and the target.
+"""Generate the tables of docs/CAPACITY.md from the benchmark results.
 
-``python -m bench.capacity`` writes them into the page, between its
-markers; nothing else of the page is touched.
+``python -m bench.capacity`` replaces the text between the page's table
+markers and leaves the rest of the page as it is.
 """
 
 import collections.abc
@@ -15,14 +15,14 @@
 
 _NODES = 370
 _ENGINES = 4600
-_REQUESTS_S = 3200
-_TOKENS_S = 910_000
+_REQUESTS_PER_S = 3200
+_TOKENS_PER_S = 910_000
 _ACCOUNTS = 8700
-_DAY_S = 86400
-_CHANGES_S = 15_000 / _DAY_S
-_VIEWS_S = (1700 + 67) * 3 / _DAY_S  # leaving, gone, and back
-_CLAIM_SHARE = 0.05  # of requests, assumed
-_HOP_SHARE = 0.10  # of requests that come to another router, assumed
+_SECONDS_PER_DAY = 86400
+_CHANGES_PER_S = 15_000 / _SECONDS_PER_DAY
+_VIEWS_PER_S = (1700 + 67) * 3 / _SECONDS_PER_DAY  # drain, removal, return
+_CLAIM_SHARE = 0.05  # of requests; an assumption
+_SECOND_HOP_SHARE = 0.10  # of requests that take a second hop; an assumption
 _RETENTION_S = 3600
 _REPORT_MS = 1000
 _MEASURED_REPORT_MS = 250
@@ -33,12 +33,15 @@
 
 
 def fill(page: str, results: Results) -> str:
-    """Return the page with its tables made anew."""
-    for name, make in _TABLES.items():
-        text = _render(make(results))
+    """Return the page with its tables replaced.
+
+    :param results: figures by benchmark and name
+    """
+    for name, make_rows in _TABLES.items():
+        text = _render(make_rows(results))
         page = re.sub(
             f'(<!-- table:{name} -->\n).*?(<!-- end -->)',
-            lambda found, text=text: found[1] + text + found[2],
+            lambda match, text=text: match[1] + text + match[2],
             page,
             flags=re.DOTALL,
         )
@@ -52,77 +55,93 @@
 
 
 def _router(results: Results) -> list[Row]:
-    """A router as entry and as steward: one node of 370."""
-    hops, rest = results['hops'], results['increment']
-    pieces, subs = results['pieces'], results['subscribers']
-    requests, tokens = _REQUESTS_S / _NODES, _TOKENS_S / _NODES
+    """Return the rows of a router, as entry and as steward."""
+    hops, increment = results['hops'], results['increment']
+    pieces, subscribers = results['pieces'], results['subscribers']
+    requests_per_s, tokens_per_s = (
+        _REQUESTS_PER_S / _NODES,
+        _TOKENS_PER_S / _NODES,
+    )
     engines = _ENGINES / _NODES
-    data = (
-        requests * hops['one_hop_request_ms']
-        + tokens * hops['one_hop_chunk_ms']
+    data_path_ms_s = (
+        requests_per_s * hops['one_hop_request_ms']
+        + tokens_per_s * hops['one_hop_chunk_ms']
+    )
+    second_hop_ms_s = _SECOND_HOP_SHARE * (
+        requests_per_s
+        * (hops['two_hops_request_ms'] - hops['one_hop_request_ms'])
+        + tokens_per_s * (hops['two_hops_chunk_ms'] - hops['one_hop_chunk_ms'])
+    )
+    reports_ms_s = (
+        increment['today_ms_s']
+        - _MEASURED_ENGINES * increment['ms_s_per_engine']
     )
-    hop_extra = _HOP_SHARE * (
-        requests * (hops['two_hops_request_ms'] - hops['one_hop_request_ms'])
-        + tokens * (hops['two_hops_chunk_ms'] - hops['one_hop_chunk_ms'])
+    reports_ms_s *= _MEASURED_REPORT_MS / _REPORT_MS
+    probes_ms_s = engines * increment['ms_s_per_engine']
+    changes_ms_s = _CHANGES_PER_S * pieces['apply_change_ms']
+    views_ms_s = _VIEWS_PER_S * pieces['regard_view_ms']
+    control_ms_s = reports_ms_s + probes_ms_s + changes_ms_s + views_ms_s
+    entries_mb = (_ACCOUNTS + _ENGINES) * increment['kb_per_account'] / 1000
+    reports_bytes_s = subscribers['at_370_rest_bytes_s_per_router']
+    changes_bytes_s = (
+        _CHANGES_PER_S * subscribers['at_370_change_bytes_per_router']
     )
-    report = rest['today_ms_s'] - _MEASURED_ENGINES * rest['ms_s_per_engine']
-    report *= _MEASURED_REPORT_MS / _REPORT_MS
-    probes = engines * rest['ms_s_per_engine']
-    changes = _CHANGES_S * pieces['apply_change_ms']
-    views = _VIEWS_S * pieces['regard_view_ms']
-    control = report + probes + changes + views
-    entries_mb = (_ACCOUNTS + _ENGINES) * rest['kb_per_account'] / 1000
-    sent = subs['at_370_rest_bytes_s_per_router']
-    changed = _CHANGES_S * subs['at_370_change_bytes_per_router']
-    viewed = _VIEWS_S * pieces['view_kb'] * 1000
+    views_bytes_s = _VIEWS_PER_S * pieces['view_kb'] * 1000
     return [
-        ('requests', f'{requests:.1f} /s', '3,200 over 370 nodes'),
-        ('tokens', f'{tokens:,.0f} /s', '910,000 over 370 nodes'),
+        ('requests', f'{requests_per_s:.1f} /s', '3,200 over 370 nodes'),
+        ('tokens', f'{tokens_per_s:,.0f} /s', '910,000 over 370 nodes'),
         ('engines stewarded', f'{engines:.1f}', '4,600 over 370 nodes'),
         (
             'data path, one hop',
-            _core(data),
+            _format_core_share(data_path_ms_s),
             'requests x hops.one_hop_request_ms + tokens x '
             'hops.one_hop_chunk_ms',
         ),
         (
             'data path, second hops',
-            _core(hop_extra),
-            f'{_HOP_SHARE:.0%} of requests, assumed; both routers counted',
+            _format_core_share(second_hop_ms_s),
+            f'{_SECOND_HOP_SHARE:.0%} of requests, assumed; '
+            'both routers counted',
         ),
         (
             'control: reports',
-            _core(report),
+            _format_core_share(reports_ms_s),
             'increment.today_ms_s without probes, at a report a second',
         ),
         (
             'control: probes',
-            _core(probes),
+            _format_core_share(probes_ms_s),
             'engines x increment.ms_s_per_engine, a probe a second',
         ),
         (
             'control: changes',
-            _core(changes),
-            f'{_CHANGES_S:.3f} /s x pieces.apply_change_ms',
+            _format_core_share(changes_ms_s),
+            f'{_CHANGES_PER_S:.3f} /s x pieces.apply_change_ms',
         ),
         (
             'control: views',
-            _core(views),
-            f'{_VIEWS_S:.3f} /s x pieces.regard_view_ms',
+            _format_core_share(views_ms_s),
+            f'{_VIEWS_PER_S:.3f} /s x pieces.regard_view_ms',
+        ),
+        (
+            '**control: processor**',
+            f'**{_format_core_share(control_ms_s)}**',
+            'limit 1.8 %',
         ),
-        ('**control: processor**', f'**{_core(control)}**', 'limit 1.8 %'),
         (
             '**control: memory**',
-            f'**{rest["control_mb"] + entries_mb:.1f} MB**',
+            f'**{increment["control_mb"] + entries_mb:.1f} MB**',
             'increment.control_mb + 13,300 entries x '
             'increment.kb_per_account; limit 32 MB over the '
-            f'{rest["bare_mb"]:.0f} MB of the process without control',
+            f'{increment["bare_mb"]:.0f} MB of the process without control',
         ),
         (
             '**control: traffic**',
-            f'**{(sent + changed + viewed) / 1000:.2f} KB/s**',
-            f'reports {sent:.0f} + changes {changed:.0f} + views '
-            f'{viewed:.0f} B/s; limit 19 KB/s',
+            '**'
+            f'{(reports_bytes_s + changes_bytes_s + views_bytes_s) / 1000:.2f}'
+            ' KB/s**',
+            f'reports {reports_bytes_s:.0f} + changes {changes_bytes_s:.0f} '
+            f'+ views {views_bytes_s:.0f} B/s; limit 19 KB/s',
         ),
         (
             'chats that may return',
@@ -138,24 +157,28 @@
 
 
 def _leader(results: Results) -> list[Row]:
-    """The leading control replica."""
-    subs, claims = results['subscribers'], results['claims']
-    pairs = _REQUESTS_S * _CLAIM_SHARE
-    sessions = _NODES * subs['leader_ms_s_per_router']
-    claimed = pairs * claims['leader_ms_per_claim']
-    kept = pairs * _RETENTION_S * claims['leader_kb_per_claim'] / 1000
-    traffic = _NODES * subs['at_370_rest_bytes_s_per_router'] / 1000
+    """Return the rows of the leading control replica."""
+    subscribers, claims = results['subscribers'], results['claims']
+    claims_per_s = _REQUESTS_PER_S * _CLAIM_SHARE
+    sessions_ms_s = _NODES * subscribers['leader_ms_s_per_router']
+    claims_ms_s = claims_per_s * claims['leader_ms_per_claim']
+    claims_mb = (
+        claims_per_s * _RETENTION_S * claims['leader_kb_per_claim'] / 1000
+    )
+    traffic_kb_s = (
+        _NODES * subscribers['at_370_rest_bytes_s_per_router'] / 1000
+    )
     return [
         (
             'sessions',
-            _core(sessions),
+            _format_core_share(sessions_ms_s),
             '370 x subscribers.leader_ms_s_per_router',
         ),
         (
             'claims',
-            _core(claimed),
-            f'{pairs:.0f} /s ({_CLAIM_SHARE:.0%} of requests, assumed) x '
-            'claims.leader_ms_per_claim',
+            _format_core_share(claims_ms_s),
+            f'{claims_per_s:.0f} /s ({_CLAIM_SHARE:.0%} of requests, assumed) '
+            'x claims.leader_ms_per_claim',
         ),
         (
             'claims it could commit',
@@ -164,36 +187,37 @@
         ),
         (
             'memory without claims',
-            f'{subs["at_370_leader_after_mb"]:.0f} MB',
+            f'{subscribers["at_370_leader_after_mb"]:.0f} MB',
             'subscribers.at_370_leader_after_mb',
         ),
         (
             'memory of claims',
-            f'{kept:,.0f} MB',
-            f'{pairs:.0f} /s x {_RETENTION_S} s x claims.leader_kb_per_claim',
+            f'{claims_mb:,.0f} MB',
+            f'{claims_per_s:.0f} /s x {_RETENTION_S} s x '
+            'claims.leader_kb_per_claim',
         ),
         (
             'traffic to routers at rest',
-            f'{traffic:.0f} KB/s',
+            f'{traffic_kb_s:.0f} KB/s',
             '370 x subscribers.at_370_rest_bytes_s_per_router',
         ),
         (
             'change in force on 370 routers',
-            f'{subs["at_370_in_force_max_s"]:.2f} s',
+            f'{subscribers["at_370_in_force_max_s"]:.2f} s',
             'subscribers.at_370_in_force_max_s; limit 4 s',
         ),
     ]
 
 
 def _follower(results: Results) -> list[Row]:
-    """A following control replica; a learner does the same."""
+    """Return the rows of a following control replica or a learner."""
     claims, roll = results['claims'], results['roll']
-    pairs = _REQUESTS_S * _CLAIM_SHARE
+    claims_per_s = _REQUESTS_PER_S * _CLAIM_SHARE
     return [
         (
             'claims',
-            _core(pairs * claims['follower_ms_per_claim']),
-            f'{pairs:.0f} /s x claims.follower_ms_per_claim',
+            _format_core_share(claims_per_s * claims['follower_ms_per_claim']),
+            f'{claims_per_s:.0f} /s x claims.follower_ms_per_claim',
         ),
         (
             'leader killed -> next accepted change',
@@ -210,7 +234,7 @@
 
 
 def _joiners(results: Results) -> list[Row]:
-    """A rack or a failure domain that comes back."""
+    """Return the rows of routers that rejoin after an outage."""
     pieces = results['pieces']
     return [
         (
@@ -231,15 +255,16 @@
     ]
 
 
-def _core(milliseconds: float) -> str:
-    """Show milliseconds a second as a share of a core."""
-    return f'{milliseconds / 10:.2f} % of a core'
+def _format_core_share(cpu_ms_s: float) -> str:
+    """Format processor milliseconds per second as a share of a core."""
+    return f'{cpu_ms_s / 10:.2f} % of a core'
 
 
 def _render(rows: list[Row]) -> str:
     lines = ['| what | at the target | from |', '| --- | --- | --- |']
     lines += [
-        f'| {what} | {value} | {source} |' for what, value, source in rows
+        f'| {quantity} | {value} | {source} |'
+        for quantity, value, source in rows
     ]
     return '\n'.join(lines) + '\n'
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Control: how fast a change is in force, and what control costs."""
+"""Propagation of changes, and costs of the control plane."""
 
 import asyncio
 import collections.abc
@@ -29,12 +29,12 @@
 _ACCOUNTS = 8700
 _BACKENDS = 4600
 _TARGET_TIMING = {'report_ms': 1000, 'lease_ms': 4000, 'probe_ms': 1000}
-_TODAY_TIMING = {'report_ms': 250, 'lease_ms': 2000, 'probe_ms': 1000}
+_DEFAULT_TIMING = {'report_ms': 250, 'lease_ms': 2000, 'probe_ms': 1000}
 
 
 @contextlib.asynccontextmanager
-async def scratch() -> collections.abc.AsyncIterator[worlds.World]:
-    """Yield a world in a folder of its own; stop it afterwards."""
+async def temporary_world() -> collections.abc.AsyncIterator[worlds.World]:
+    """Yield a world in a temporary folder; stop it on exit."""
     with tempfile.TemporaryDirectory(prefix='honeyport-bench-') as folder:
         world = worlds.World(pathlib.Path(folder))
         try:
@@ -45,75 +45,75 @@
 
 @registry.register('roll')
 async def measure_roll() -> registry.Figures:
-    """Measure accepted -> in force on 12 routers, and failover."""
-    async with scratch() as world:
-        world.timing.update(_TODAY_TIMING)
+    """Measure propagation to 12 routers, failover and restart."""
+    async with temporary_world() as world:
+        world.timing.update(_DEFAULT_TIMING)
         await fleet_steps.start_fleet(world, 3, 12, 4, 1)
         await control_steps.many(world, 100)
         await asyncio.sleep(1)
-        figures = _delays(world)
+        figures = _propagation_delays(world)
         figures.update(await _failovers(world))
-        figures['restart_after_changes_s'] = await _restart(world)
+        figures['restart_after_changes_s'] = await _measure_restart(world)
         return figures
 
 
-def _delays(world: worlds.World) -> registry.Figures:
-    """Return the delays between acceptance and the last application."""
+def _propagation_delays(world: worlds.World) -> registry.Figures:
+    """Return quantiles of the time until all routers apply a change."""
     accepted = {}
     for name in world.control:
         for line in world.log(name):
             if line['number'] == 2101:
-                accepted[line['version']] = _seconds(line)
+                accepted[line['version']] = _parse_timestamp(line)
     applied: dict[int, float] = {}
     for name in world.routers:
         for line in world.log(name):
             if line['number'] == 3001:
                 version = line['version']
                 applied[version] = max(
-                    applied.get(version, 0.0), _seconds(line)
+                    applied.get(version, 0.0), _parse_timestamp(line)
                 )
-    # A version that the next one overtook is in force with that one.
-    delays = []
-    latest = float('inf')
+    # A skipped version is in force once a later version is.
+    delays_ms = []
+    in_force_at = float('inf')
     for version in sorted(accepted, reverse=True):
-        latest = min(latest, applied.get(version, float('inf')))
+        in_force_at = min(in_force_at, applied.get(version, float('inf')))
         if version > 1:
-            delays.append((latest - accepted[version]) * 1000)
-    delays.sort()
+            delays_ms.append((in_force_at - accepted[version]) * 1000)
+    delays_ms.sort()
     return {
-        'in_force_p50_ms': statistics.median(delays),
-        'in_force_p99_ms': delays[int(len(delays) * 0.99)],
-        'changes': len(delays),
+        'in_force_p50_ms': statistics.median(delays_ms),
+        'in_force_p99_ms': delays_ms[int(len(delays_ms) * 0.99)],
+        'changes': len(delays_ms),
     }
 
 
-def _seconds(line: dict[str, typing.Any]) -> float:
+def _parse_timestamp(line: dict[str, typing.Any]) -> float:
     text = line['timestamp'].replace('Z', '+00:00')
     return datetime.datetime.fromisoformat(text).timestamp()
 
 
 async def _failovers(world: worlds.World) -> registry.Figures:
-    """Kill the leader a few times; time the next accepted change."""
-    took = []
+    """Measure the time from a leader's death to the next accepted change."""
+    failovers_s = []
     for _ in range(5):
         name = await control_steps.leader(world)
-        others = [n for n in world.control if n != name]
+        survivors = [replica for replica in world.control if replica != name]
         await world.kill(name)
         started = time.monotonic()
-        await _change(world, others)
-        took.append(time.monotonic() - started)
+        await _submit_next(world, survivors)
+        failovers_s.append(time.monotonic() - started)
         world.start(name, 'control')
         await world.wait_until(
             lambda name=name: control_steps.caught_up(world, name), 'it is up'
         )
     return {
-        'failover_median_s': statistics.median(took),
-        'failover_max_s': max(took),
+        'failover_median_s': statistics.median(failovers_s),
+        'failover_max_s': max(failovers_s),
     }
 
 
-async def _change(world: worlds.World, names: list[str]) -> None:
-    """Have the next change accepted by whoever leads."""
+async def _submit_next(world: worlds.World, names: list[str]) -> None:
+    """Submit the next change to each replica until the leader accepts it."""
     world.limits['queue'] = 100 + world.version
     text = control_steps.sign_quickly(world).to_json()
     request = pb.SubmitRequest(signed=text)
@@ -136,8 +136,8 @@
     world.version += 1
 
 
-async def _restart(world: worlds.World) -> float:
-    """Make up 1,000 changes, kill all replicas, time their return."""
+async def _measure_restart(world: worlds.World) -> float:
+    """Measure the restart of all replicas after 1,000 changes, in s."""
     await control_steps.many(world, 1000 - world.version)
     for name in world.control:
         await world.kill(name)
@@ -145,26 +145,26 @@
     for name in world.control:
         world.start(name, 'control')
     name = await control_steps.leader(world)
-    took = time.monotonic() - started
+    restart_s = time.monotonic() - started
     answer = await control_steps.status(world.control[name])
     assert answer is not None and answer.version == world.version
-    return took
+    return restart_s
 
 
 @registry.register('subscribers')
 async def measure_subscribers() -> registry.Figures:
-    """Measure control at the target's size, with stubs for routers."""
+    """Measure control at the target size, with stubs for routers."""
     figures: registry.Figures = {}
-    async with scratch() as world:
-        _grow(world)
+    async with temporary_world() as world:
+        _set_target_size(world)
         world.start_control(3, http_listen='127.0.0.2:0')
         await world.roll(wait=False)
         costs = {}
         for count in (40, 370):
-            costs[count] = await _subscribe(world, count)
-        span = 370 - 40
+            costs[count] = await _measure_subscribers(world, count)
+        added = 370 - 40
         for key in ('leader_ms_s', 'leader_mb'):
-            slope = (costs[370][key] - costs[40][key]) / span
+            slope = (costs[370][key] - costs[40][key]) / added
             figures[f'{key}_per_router'] = slope
         figures.update(
             {f'at_370_{key}': value for key, value in costs[370].items()}
@@ -172,52 +172,58 @@
     return figures
 
 
-def _grow(world: worlds.World) -> None:
-    """Give a world the target's accounts and backend servers."""
-    world.accounts = {f'account-{n}': {} for n in range(_ACCOUNTS)}
+def _set_target_size(world: worlds.World) -> None:
+    """Configure the target's accounts, backend servers and timing."""
+    world.accounts = {f'account-{number}': {} for number in range(_ACCOUNTS)}
     world.backends = {
-        f'engine-{n}': {
+        f'engine-{number}': {
             'service': 'draft-llm',
-            'address': f'10.1.{n // 250}.{n % 250}:8000',
-            'domain': worlds.DOMAINS[n % 3],
+            'address': f'10.1.{number // 250}.{number % 250}:8000',
+            'domain': worlds.DOMAINS[number % 3],
         }
-        for n in range(_BACKENDS)
+        for number in range(_BACKENDS)
     }
     world.timing.update(_TARGET_TIMING)
 
 
-async def _subscribe(world: worlds.World, count: int) -> registry.Figures:
-    """Attach stubs; measure at rest, then under changes."""
+async def _measure_subscribers(
+    world: worlds.World, count: int
+) -> registry.Figures:
+    """Attach stubs; measure the leader idle, then during changes."""
     stubs = subscribers.Subscribers(world, count)
     await stubs.start(world)
     for state in stubs.states:
-        state._bundle = _timing_only(world)
+        state._bundle = _timing_bundle(world)
     await asyncio.sleep(6)
     name = await control_steps.leader(world)
     pid = world.processes[name].pid
-    rest_s = 10.0
-    cpu, size = process.cpu_s(pid), stubs.bytes()
-    await asyncio.sleep(rest_s)
-    rest = (stubs.bytes() - size) / count / rest_s
-    found = {
-        'leader_ms_s': (process.cpu_s(pid) - cpu) * 1000 / rest_s,
+    idle_s = 10.0
+    cpu_before_s, bytes_before = process.cpu_s(pid), stubs.bytes()
+    await asyncio.sleep(idle_s)
+    idle_bytes_s = (stubs.bytes() - bytes_before) / count / idle_s
+    figures = {
+        'leader_ms_s': (process.cpu_s(pid) - cpu_before_s) * 1000 / idle_s,
         'leader_mb': process.resident_mb(pid),
-        'rest_bytes_s_per_router': rest,
+        'rest_bytes_s_per_router': idle_bytes_s,
     }
-    delays, extra = await _paced_changes(world, stubs, rest)
-    found['in_force_max_s'] = max(delays)
-    found['change_bytes_per_router'] = extra
-    found['leader_after_mb'] = process.resident_mb(pid)
+    delays_s, change_bytes = await _paced_changes(world, stubs, idle_bytes_s)
+    figures['in_force_max_s'] = max(delays_s)
+    figures['change_bytes_per_router'] = change_bytes
+    figures['leader_after_mb'] = process.resident_mb(pid)
     await stubs.stop()
-    return found
+    return figures
 
 
 async def _paced_changes(
-    world: worlds.World, stubs: subscribers.Subscribers, rest: float
+    world: worlds.World, stubs: subscribers.Subscribers, idle_bytes_s: float
 ) -> tuple[list[float], float]:
-    """Make a change each 6 s; return delays, and bytes for one change."""
-    delays = []
-    size = stubs.bytes()
+    """Submit a change every 6 s.
+
+    :param idle_bytes_s: traffic of a router without changes
+    :return: delays until in force in s; bytes per change and router
+    """
+    delays_s = []
+    bytes_before = stubs.bytes()
     started = time.monotonic()
     changes = 4
     for number in range(changes):
@@ -226,16 +232,20 @@
         accepted = await _submit(world, signed)
         await asyncio.sleep(6)
         version = signed.version
-        last = max(s.applied.get(version, 1e12) for s in stubs.states)
-        delays.append(last - accepted)
-    took = time.monotonic() - started
+        in_force_at = max(
+            state.applied.get(version, 1e12) for state in stubs.states
+        )
+        delays_s.append(in_force_at - accepted)
+    elapsed_s = time.monotonic() - started
     count = len(stubs.states)
-    extra = (stubs.bytes() - size) / count - rest * took
-    return delays, extra / changes
+    extra_bytes = (
+        stubs.bytes() - bytes_before
+    ) / count - idle_bytes_s * elapsed_s
+    return delays_s, extra_bytes / changes
 
 
 async def _submit(world: worlds.World, signed: signing.Signed) -> float:
-    """Submit to the leader; return the time of the receipt."""
+    """Submit a bundle to the leader; return the time of acceptance."""
     name = await control_steps.leader(world)
     channel = channels.connect(world.control[name])
     stub = rpc.OperatorStub(channel)
@@ -249,9 +259,9 @@
     return accepted
 
 
-def _timing_only(world: worlds.World) -> typing.Any:
-    """Return a bundle that has only the timing."""
-    small = entries.from_entries(
+def _timing_bundle(world: worlds.World) -> typing.Any:
+    """Return the bundle without accounts and backend servers."""
+    bundle = entries.from_entries(
         1,
         {
             key: text
@@ -259,7 +269,7 @@
             if '/' not in key
         },
     )
-    return small
+    return bundle
 
 
 def _bundle(world: worlds.World) -> typing.Any:
@@ -273,31 +283,33 @@
 
 @registry.register('claims')
 async def measure_claims() -> registry.Figures:
-    """Measure claims committed a second, on synced disks."""
-    async with scratch() as world:
+    """Measure claims per second with synchronous disk writes."""
+    async with temporary_world() as world:
         world.start_control(3)
         await world.roll(wait=False)
         stubs = subscribers.Subscribers(world, 1)
         await stubs.start(world)
         leader = await control_steps.leader(world)
-        follower = next(n for n in world.control if n != leader)
+        follower = next(
+            replica for replica in world.control if replica != leader
+        )
         pids = {
             'leader': world.processes[leader].pid,
             'follower': world.processes[follower].pid,
         }
-        memory = process.resident_mb(pids['leader'])
-        cpu = {kind: process.cpu_s(pid) for kind, pid in pids.items()}
-        count, took, waits = await _claim_many(stubs.sessions[0])
+        memory_before_mb = process.resident_mb(pids['leader'])
+        cpu_before_s = {role: process.cpu_s(pid) for role, pid in pids.items()}
+        count, elapsed_s, latencies_s = await _claim_many(stubs.sessions[0])
         figures = {
-            'per_second': count / took,
-            'p50_ms': waits[len(waits) // 2] * 1000,
-            'p99_ms': waits[int(len(waits) * 0.99)] * 1000,
+            'per_second': count / elapsed_s,
+            'p50_ms': latencies_s[len(latencies_s) // 2] * 1000,
+            'p99_ms': latencies_s[int(len(latencies_s) * 0.99)] * 1000,
         }
-        for kind, pid in pids.items():
-            spent = process.cpu_s(pid) - cpu[kind]
-            figures[f'{kind}_ms_per_claim'] = spent * 1000 / count
-        grown = process.resident_mb(pids['leader']) - memory
-        figures['leader_kb_per_claim'] = grown * 1000 / count
+        for role, pid in pids.items():
+            cpu_spent_s = process.cpu_s(pid) - cpu_before_s[role]
+            figures[f'{role}_ms_per_claim'] = cpu_spent_s * 1000 / count
+        growth_mb = process.resident_mb(pids['leader']) - memory_before_mb
+        figures['leader_kb_per_claim'] = growth_mb * 1000 / count
         await stubs.stop()
         return figures
 
@@ -305,15 +317,18 @@
 async def _claim_many(
     control: session.Session,
 ) -> tuple[int, float, list[float]]:
-    """Claim and record many keys, 200 at once."""
-    room = asyncio.Semaphore(200)
-    waits: list[float] = []
+    """Claim and record 6,000 keys, 200 at a time.
+
+    :return: number of keys, elapsed time in s, sorted latencies in s
+    """
+    slots = asyncio.Semaphore(200)
+    latencies_s: list[float] = []
 
-    async def one(number: int) -> None:
-        async with room:
+    async def claim_and_record(number: int) -> None:
+        async with slots:
             key = calls.new_key()
             for action in (pb.ClaimRequest.CLAIM, pb.ClaimRequest.RECORD):
-                began = time.monotonic()
+                request_start = time.monotonic()
                 await control.claim(
                     pb.ClaimRequest(
                         action=action,
@@ -324,18 +339,20 @@
                         retention_s=3600,
                     )
                 )
-                waits.append(time.monotonic() - began)
+                latencies_s.append(time.monotonic() - request_start)
 
     count = 6000
     started = time.monotonic()
-    await asyncio.gather(*(one(number) for number in range(count)))
-    return count, time.monotonic() - started, sorted(waits)
+    await asyncio.gather(
+        *(claim_and_record(number) for number in range(count))
+    )
+    return count, time.monotonic() - started, sorted(latencies_s)
 
 
 @registry.register('increment')
 async def measure_increment() -> registry.Figures:
-    """Measure what control costs a router: processor, memory, bytes."""
-    bare = subprocess.Popen(
+    """Measure the costs of control on a router: processor, memory, bytes."""
+    baseline = subprocess.Popen(
         [
             sys.executable,
             '-c',
@@ -349,10 +366,10 @@
             ('accounts', 8700, 4),
             ('engines', 10, 16),
         ):
-            found = await _router_at_rest(accounts, engines)
-            for key, value in found.items():
+            measured = await _measure_idle_router(accounts, engines)
+            for key, value in measured.items():
                 figures[f'{label}_{key}'] = value
-        figures['bare_mb'] = process.resident_mb(bare.pid)
+        figures['bare_mb'] = process.resident_mb(baseline.pid)
         figures['control_mb'] = figures['today_mb'] - figures['bare_mb']
         figures['kb_per_account'] = (
             (figures['accounts_mb'] - figures['today_mb']) * 1000 / 8690
@@ -365,26 +382,33 @@
         )
         return figures
     finally:
-        bare.kill()
-        bare.wait()
-
-
-async def _router_at_rest(accounts: int, engines: int) -> registry.Figures:
-    """Return a router's processor time, memory and bytes at rest."""
-    async with scratch() as world:
-        world.timing.update(_TODAY_TIMING)
-        world.accounts = {f'account-{n}': {} for n in range(accounts)}
+        baseline.kill()
+        baseline.wait()
+
+
+async def _measure_idle_router(
+    accounts: int, engines: int
+) -> registry.Figures:
+    """Return processor time, memory and traffic of an idle router."""
+    async with temporary_world() as world:
+        world.timing.update(_DEFAULT_TIMING)
+        world.accounts = {
+            f'account-{number}': {} for number in range(accounts)
+        }
         world.accounts['district-1'] = {}
         await fleet_steps.start_fleet(world, 1, 1, engines, 0)
         pid = world.processes['router-1'].pid
         await asyncio.sleep(3)
-        cpu, size = process.cpu_s(pid), await _control_bytes(world)
-        rest_s = 15.0
-        await asyncio.sleep(rest_s)
+        cpu_before_s, bytes_before = (
+            process.cpu_s(pid),
+            await _control_bytes(world),
+        )
+        idle_s = 15.0
+        await asyncio.sleep(idle_s)
         return {
-            'ms_s': (process.cpu_s(pid) - cpu) * 1000 / rest_s,
+            'ms_s': (process.cpu_s(pid) - cpu_before_s) * 1000 / idle_s,
             'mb': process.resident_mb(pid),
-            'bytes_s': (await _control_bytes(world) - size) / rest_s,
+            'bytes_s': (await _control_bytes(world) - bytes_before) / idle_s,
         }
 
 
--- a/bench/hops.py
+++ b/bench/hops.py
@@ -1,4 +1,4 @@
-"""What a request and a chunk cost on one hop and on two."""
+"""Costs of a request and of a chunk over one hop and over two."""
 
 import asyncio
 import pathlib
@@ -12,9 +12,9 @@
 from features.support import world as worlds
 
 _REQUESTS = 600
-_AT_ONCE = 12
-_SHORT = 1
-_LONG = 101
+_CONCURRENCY = 12
+_SHORT_TOKENS = 1
+_LONG_TOKENS = 101
 _ENGINE = {
     'slots': 32,
     'token_ms': 4.0,
@@ -25,7 +25,7 @@
 
 @registry.register('hops')
 async def measure() -> registry.Figures:
-    """Measure added processor time and added time to the first token."""
+    """Measure processor time and the added time to the first token."""
     with tempfile.TemporaryDirectory(prefix='honeyport-bench-') as folder:
         world = worlds.World(pathlib.Path(folder))
         world.limits['bound'] = 100.0
@@ -37,73 +37,82 @@
 
 
 async def _measure(world: worlds.World) -> registry.Figures:
-    near = await _steward(world, 'draft-llm-1')
-    far = next(name for name in world.routers if name != near)
+    steward = await _find_steward(world, 'draft-llm-1')
+    other_router = next(name for name in world.routers if name != steward)
     figures: registry.Figures = {}
-    one = await _costs(world, near, [near])
-    two = await _costs(world, far, [far, near])
-    figures['one_hop_request_ms'] = one[0]
-    figures['one_hop_chunk_ms'] = one[1]
-    figures['two_hops_request_ms'] = two[0]
-    figures['two_hops_chunk_ms'] = two[1]
-    direct = await _first_token(world, world.address('draft-llm-1'))
-    through = await _first_token(world, world.address(near))
-    hopped = await _first_token(world, world.address(far))
-    figures['first_token_direct_ms'] = direct
-    figures['first_token_added_one_hop_ms'] = through - direct
-    figures['first_token_added_two_hops_ms'] = hopped - direct
+    one_hop = await _cpu_costs_ms(world, steward, [steward])
+    two_hops = await _cpu_costs_ms(
+        world, other_router, [other_router, steward]
+    )
+    figures['one_hop_request_ms'] = one_hop[0]
+    figures['one_hop_chunk_ms'] = one_hop[1]
+    figures['two_hops_request_ms'] = two_hops[0]
+    figures['two_hops_chunk_ms'] = two_hops[1]
+    direct_ms = await _first_token_ms(world, world.address('draft-llm-1'))
+    one_hop_ms = await _first_token_ms(world, world.address(steward))
+    two_hops_ms = await _first_token_ms(world, world.address(other_router))
+    figures['first_token_direct_ms'] = direct_ms
+    figures['first_token_added_one_hop_ms'] = one_hop_ms - direct_ms
+    figures['first_token_added_two_hops_ms'] = two_hops_ms - direct_ms
     figures['router_resident_mb'] = process.resident_mb(
-        world.processes[near].pid
+        world.processes[steward].pid
     )
     return figures
 
 
-async def _steward(world: worlds.World, engine: str) -> str:
+async def _find_steward(world: worlds.World, engine: str) -> str:
     """Return the router that stewards an engine."""
     for name in world.routers:
-        taken = [
+        stewardships = [
             line
             for line in world.log(name)
             if line['number'] == 3101 and line['backend'] == engine
         ]
-        if taken:
+        if stewardships:
             return name
     raise LookupError(engine)
 
 
-async def _costs(
-    world: worlds.World, entry: str, counted: list[str]
+async def _cpu_costs_ms(
+    world: worlds.World, entry: str, measured: list[str]
 ) -> tuple[float, float]:
-    """Return processor milliseconds for a request and for a chunk."""
-    pids = [world.processes[name].pid for name in counted]
-    spent = []
-    for tokens in (_SHORT, _LONG):
-        await _load(world.address(entry), tokens, _REQUESTS // 6)
-        before = sum(process.cpu_s(pid) for pid in pids)
-        await _load(world.address(entry), tokens, _REQUESTS)
-        after = sum(process.cpu_s(pid) for pid in pids)
-        spent.append((after - before) / _REQUESTS * 1000)
-    chunk = (spent[1] - spent[0]) / (_LONG - _SHORT)
-    return spent[0], chunk
-
-
-async def _load(address: str, tokens: int, count: int) -> list[calls.Reply]:
-    """Send many chat turns, a few at once."""
-    room = asyncio.Semaphore(_AT_ONCE)
-
-    async def one(number: int) -> calls.Reply:
-        async with room:
+    """Return the processor time of a request and of a chunk in ms.
+
+    :param measured: the routers whose processor time counts
+    """
+    pids = [world.processes[name].pid for name in measured]
+    request_ms = []
+    for tokens in (_SHORT_TOKENS, _LONG_TOKENS):
+        await _send_turns(world.address(entry), tokens, _REQUESTS // 6)
+        cpu_before_s = sum(process.cpu_s(pid) for pid in pids)
+        await _send_turns(world.address(entry), tokens, _REQUESTS)
+        cpu_after_s = sum(process.cpu_s(pid) for pid in pids)
+        request_ms.append((cpu_after_s - cpu_before_s) / _REQUESTS * 1000)
+    chunk_ms = (request_ms[1] - request_ms[0]) / (_LONG_TOKENS - _SHORT_TOKENS)
+    return request_ms[0], chunk_ms
+
+
+async def _send_turns(
+    address: str, tokens: int, count: int
+) -> list[calls.Reply]:
+    """Send chat turns with limited concurrency; all have to succeed."""
+    slots = asyncio.Semaphore(_CONCURRENCY)
+
+    async def send_turn(number: int) -> calls.Reply:
+        async with slots:
             return await calls.send(address, _turn(f'c{number}', tokens))
 
-    replies = await asyncio.gather(*(one(number) for number in range(count)))
+    replies = await asyncio.gather(
+        *(send_turn(number) for number in range(count))
+    )
     failed = [reply for reply in replies if reply.status != 200]
     assert not failed, failed[0]
     return replies
 
 
-async def _first_token(world: worlds.World, address: str) -> float:
-    """Return the median milliseconds to the first byte of an answer."""
-    replies = await _load(address, _SHORT, 200)
+async def _first_token_ms(world: worlds.World, address: str) -> float:
+    """Return the median time to the first byte of a response in ms."""
+    replies = await _send_turns(address, _SHORT_TOKENS, 200)
     return statistics.median(reply.first_byte_s for reply in replies) * 1000
 
 
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -1,4 +1,4 @@
-"""What a leader spends on its routers' streams, in this process."""
+"""Processor time that a leader spends on its routers' sessions."""
 
 import asyncio
 import time
@@ -9,28 +9,29 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-_FEW = 20
-_MANY = 200
-_ENTRIES = 400  # in the log: a router each, places, configurations
+_SMALL_FLEET = 20
+_LARGE_FLEET = 200
+_ENTRIES = 400  # in the replicated log
 _BACKENDS = 60
-_RUNNING = 3  # backend servers in a report
+_BACKENDS_PER_REPORT = 3
 _TICKS = 40
-_REPORTS_A_TICK = 0.2  # of each router: every 250 ms, a tick every 50 ms
+# Of each router: a report every 250 ms, a tick every 50 ms.
+_REPORTS_PER_TICK = 0.2
 
 
 @registry.register('leader')
 async def measure() -> registry.Figures:
-    """Measure a second of ticks and reports with few and many routers."""
-    few = await _second_ms(_FEW)
-    many = await _second_ms(_MANY)
+    """Measure a second of ticks and reports in a small and a large fleet."""
+    small_ms = await _cpu_ms_per_second(_SMALL_FLEET)
+    large_ms = await _cpu_ms_per_second(_LARGE_FLEET)
     return {
-        f'at_{_FEW}_ms_a_second': few,
-        f'at_{_MANY}_ms_a_second': many,
+        f'at_{_SMALL_FLEET}_ms_a_second': small_ms,
+        f'at_{_LARGE_FLEET}_ms_a_second': large_ms,
     }
 
 
-async def _second_ms(count: int) -> float:
-    """Return the processor milliseconds that a second takes."""
+async def _cpu_ms_per_second(count: int) -> float:
+    """Return the processor time of a second in milliseconds."""
     streams = sessions.Sessions(
         leader_stub.LeaderStub(_ENTRIES), metrics.Metrics()
     )
@@ -39,24 +40,24 @@
         streams._open(leader_stub.hello(number)) for number in range(count)
     ]
     await asyncio.sleep(0)
-    spent = 0.0
-    reports = int(count * _REPORTS_A_TICK)
+    spent_s = 0.0
+    reports = int(count * _REPORTS_PER_TICK)
     for tick in range(_TICKS):
-        began = time.process_time()
+        started = time.process_time()
         for number in range(reports):
-            one = opened[(tick * reports + number) % count]
-            streams._handle_report(one, _report(tick, number))
+            stream = opened[(tick * reports + number) % count]
+            streams._handle_report(stream, _report(tick, number))
         streams._tick()
-        spent += time.process_time() - began
-        for one in opened:
-            if one.outbox._items:
-                await one.outbox.take()
-    return spent * 1000 / (_TICKS * sessions._TICK_S)
+        spent_s += time.process_time() - started
+        for stream in opened:
+            if stream.outbox._items:
+                await stream.outbox.take()
+    return spent_s * 1000 / (_TICKS * sessions._TICK_S)
 
 
 def _report(tick: int, number: int) -> pb.Report:
     report = pb.Report(number=tick + 1, stamp=1)
-    for running in range(_RUNNING):
-        backend = (tick * 7 + number * 13 + running) % _BACKENDS
+    for index in range(_BACKENDS_PER_REPORT):
+        backend = (tick * 7 + number * 13 + index) % _BACKENDS
         report.residuals.add(backend=f'i-{backend}', running=1)
     return report
--- a/bench/pieces.py
+++ b/bench/pieces.py
@@ -1,4 +1,4 @@
-"""What single pieces cost at the target's size, in this process."""
+"""Costs of single operations at the size of the target fleet."""
 
 import time
 import typing
@@ -13,9 +13,9 @@
 _ENGINES = 4600
 _ACCOUNTS = 8700
 _ROUTERS = 370
-_ROUTERS_NEAR = 46  # of one failure domain
-_POOL = 766  # engines of one model
-_TIMES = 200
+_ROUTERS_PER_DOMAIN = 46
+_ENGINES_PER_MODEL = 766
+_REPETITIONS = 200
 
 
 @registry.register('pieces')
@@ -33,28 +33,30 @@
         contents.apply(delta).digest(2)
         entries.apply_delta(bundle, delta)
 
-    figures['apply_change_ms'] = _milliseconds(apply, _TIMES)
-    figures['join_snapshot_ms'] = _milliseconds(
+    figures['apply_change_ms'] = _cpu_ms(apply, _REPETITIONS)
+    figures['join_snapshot_ms'] = _cpu_ms(
         lambda: entries.EntrySet(
             entries.to_entries(entries.from_entries(1, items))
         ),
         3,
     )
     figures['snapshot_kb'] = len(packed.pack_snapshot(items)) / 1000
-    near = [f'router-{number}' for number in range(_ROUTERS_NEAR)]
+    domain_routers = [
+        f'router-{number}' for number in range(_ROUTERS_PER_DOMAIN)
+    ]
     engines = [f'engine-{number}' for number in range(_ENGINES)]
 
-    def regard_view() -> None:
+    def find_stewarded() -> None:
         for engine in engines:
-            hashing.is_top_ranked('router-3', engine, near)
+            hashing.is_top_ranked('router-3', engine, domain_routers)
 
-    figures['regard_view_ms'] = _milliseconds(regard_view, 10)
-    pool = engines[:_POOL]
-    figures['rank_ms'] = _milliseconds(
-        lambda: hashing.rank('chat-17', pool, 6), _TIMES
+    figures['regard_view_ms'] = _cpu_ms(find_stewarded, 10)
+    model_engines = engines[:_ENGINES_PER_MODEL]
+    figures['rank_ms'] = _cpu_ms(
+        lambda: hashing.rank('chat-17', model_engines, 6), _REPETITIONS
     )
-    figures['rank_40_ms'] = _milliseconds(
-        lambda: hashing.rank('chat-17', pool[:40], 6), _TIMES
+    figures['rank_40_ms'] = _cpu_ms(
+        lambda: hashing.rank('chat-17', model_engines[:40], 6), _REPETITIONS
     )
     figures['view_kb'] = _view().ByteSize() / 1000
     return figures
@@ -93,10 +95,13 @@
     return view
 
 
-def _milliseconds(run: typing.Callable[[], object], times: int) -> float:
-    """Return the processor milliseconds of one run."""
-    run()
+def _cpu_ms(operation: typing.Callable[[], object], repetitions: int) -> float:
+    """Return the mean processor time of a call in milliseconds.
+
+    The first call is not counted.
+    """
+    operation()
     started = time.process_time()
-    for _ in range(times):
-        run()
-    return (time.process_time() - started) * 1000 / times
+    for _ in range(repetitions):
+        operation()
+    return (time.process_time() - started) * 1000 / repetitions
--- a/bench/played.py
+++ b/bench/played.py
@@ -1,7 +1,6 @@
-"""Whether a run in the journal was of the source as it stands.
+"""Warn if no run in the journal was of the present source.
 
-By hand ``make played``; CI prints the same. It only warns: what is measured
-before a landing is the maintainers' to say.
+``make played`` and CI print the warning; it never fails a build.
 """
 
 import hashlib
@@ -10,39 +9,40 @@
 import subprocess
 import sys
 
-# What a run is of.
-_PARTS = ('src', 'launch.py', 'deploy/system.toml', 'requirements.txt')
-# The newest may be trials on copies of other sources.
-_LOOKED_AT = 40
-_OLDEST_FIRST = '????????T??????-*.json'
+# The files that a run depends on.
+_SOURCE_PATHS = ('src', 'launch.py', 'deploy/system.toml', 'requirements.txt')
+# The newest entries may be of copies with other sources.
+_MAX_ENTRIES = 40
+_ENTRY_PATTERN = '????????T??????-*.json'
 
 
 def warning(root: pathlib.Path) -> str:
-    """Return what to know before a landing, or ``''``."""
-    entries = sorted((root / 'journal').glob(_OLDEST_FIRST))
+    """Return a warning if no run was of the present source, else ``''``."""
+    entries = sorted((root / 'journal').glob(_ENTRY_PATTERN))
     if not entries:
         return 'played: the journal has no run'
-    nearest: list[str] | None = None
-    for path in reversed(entries[-_LOOKED_AT:]):
+    smallest: list[str] | None = None
+    for path in reversed(entries[-_MAX_ENTRIES:]):
         entry = json.loads(path.read_text(encoding='utf-8'))
-        if not _is_known(root, _base(entry)):
-            continue  # of a copy whose commits never came here
+        if not _is_known(root, _base_commit(entry)):
+            continue  # a run of an unknown commit
         changed = _changed(root, entry)
         if not changed:
             return ''
-        if nearest is None or len(changed) < len(nearest):
-            nearest = changed
-    if nearest is None:
-        return 'played: no run in the journal is of a commit known here'
+        if smallest is None or len(changed) < len(smallest):
+            smallest = changed
+    if smallest is None:
+        return (
+            'played: no run in the journal is of a commit in this repository'
+        )
     return (
-        f'played: {len(nearest)} files differ from those of the nearest run '
-        'in the journal, so that no figure is of this source: '
-        + ', '.join(nearest)
+        f'played: {len(smallest)} files differ from the nearest run in the '
+        'journal, so no figure applies to this source: ' + ', '.join(smallest)
     )
 
 
-def _base(entry: dict) -> str:
-    """Return the commit that a run's changes are named against."""
+def _base_commit(entry: dict) -> str:
+    """Return the commit to which the files changed in a run are relative."""
     return (entry.get('tree') or {}).get('base') or entry['head']
 
 
@@ -59,29 +59,45 @@
 
 
 def _changed(root: pathlib.Path, entry: dict) -> list[str]:
-    """Return the files that are not as they were when a run began."""
+    """Return the files that differ from those at the start of a run."""
     tree = entry.get('tree') or {}
-    played = {one['path']: one['sha256'] for one in tree.get('files', ())}
-    names = set(_git(root, 'diff', '--name-only', _base(entry), '--', *_PARTS))
+    recorded = {file['path']: file['sha256'] for file in tree.get('files', ())}
+    names = set(
+        _git(
+            root,
+            'diff',
+            '--name-only',
+            _base_commit(entry),
+            '--',
+            *_SOURCE_PATHS,
+        )
+    )
     names |= set(
-        _git(root, 'ls-files', '--others', '--exclude-standard', '--', *_PARTS)
+        _git(
+            root,
+            'ls-files',
+            '--others',
+            '--exclude-standard',
+            '--',
+            *_SOURCE_PATHS,
+        )
     )
-    names |= {name for name in played if name.startswith(_PARTS)}
+    names |= {name for name in recorded if name.startswith(_SOURCE_PATHS)}
     return sorted(
         name
         for name in names
-        if name not in played or _digest(root / name) != played[name]
+        if name not in recorded or _digest(root / name) != recorded[name]
     )
 
 
 def _git(root: pathlib.Path, *arguments: str) -> list[str]:
-    found = subprocess.run(
+    result = subprocess.run(
         ['git', '-C', str(root), *arguments],
         capture_output=True,
         text=True,
         check=True,
     )
-    return found.stdout.splitlines()
+    return result.stdout.splitlines()
 
 
 def _digest(path: pathlib.Path) -> str | None:
@@ -91,12 +107,12 @@
 
 
 def main() -> int:
-    """Print the warning, if there is one."""
+    """Print the warning, or that a run was of this source."""
     try:
-        found = warning(pathlib.Path(__file__).parent.parent)
+        message = warning(pathlib.Path(__file__).parent.parent)
     except (OSError, ValueError, subprocess.CalledProcessError) as error:
-        found = f'played: the journal cannot be compared: {error!r}'
-    print(found or 'played: a run in the journal is of this source')
+        message = f'played: the journal cannot be compared: {error!r}'
+    print(message or 'played: a run in the journal is of this source')
     return 0
 
 
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the last results: ``python -m bench.plots FOLDER``."""
+"""Plot the latest results: ``python -m bench.plots FOLDER``."""
 
 import json
 import pathlib
@@ -15,21 +15,21 @@
 
 
 def main() -> None:
-    """Draw reuse against skew, for the fleet and its baselines."""
+    """Plot cache reuse against load skew for the fleet and the baselines."""
     reuse = json.loads(_RESULTS.read_text())['reuse']
     figure, axes = pyplot.subplots(figsize=(6, 4))
     for policy in _POLICIES:
-        x = reuse[f'{policy}_skew_p50']
-        y = reuse[f'{policy}_reuse_of_possible']
-        axes.scatter(x, y)
-        axes.annotate(policy, (x, y))
+        skew = reuse[f'{policy}_skew_p50']
+        share = reuse[f'{policy}_reuse_of_possible']
+        axes.scatter(skew, share)
+        axes.annotate(policy, (skew, share))
     axes.set_xlabel('skew: highest load over the mean (p50)')
     axes.set_ylabel('reuse, of what is possible')
     axes.set_title('40 engines, one killed every 5 s')
-    out = pathlib.Path(sys.argv[1]) / 'reuse.png'
-    out.parent.mkdir(parents=True, exist_ok=True)
-    figure.savefig(out, dpi=120)
-    print(out)
+    path = pathlib.Path(sys.argv[1]) / 'reuse.png'
+    path.parent.mkdir(parents=True, exist_ok=True)
+    figure.savefig(path, dpi=120)
+    print(path)
 
 
 if __name__ == '__main__':
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,4 +1,4 @@
-"""The benches, filled by a decorator."""
+"""Registry of the benchmarks."""
 
 import collections.abc
 import typing
@@ -12,15 +12,15 @@
 
 
 def register(name: str) -> collections.abc.Callable[[B], B]:
-    """Enter a bench; its figures are named ``NAME.FIGURE``."""
+    """Register a benchmark; its figures are named ``NAME.FIGURE``."""
 
-    def decorate(bench: B) -> B:
+    def add(bench: B) -> B:
         _BENCHES[name] = bench
         return bench
 
-    return decorate
+    return add
 
 
 def benches() -> dict[str, Bench]:
-    """Return all benches by name."""
+    """Return all benchmarks by name, in order of registration."""
     return dict(_BENCHES)
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -1,7 +1,7 @@
-"""Rests known to each gateway alone, or told to all: a comparison.
+"""Compare backoffs known to one gateway with backoffs shared by all.
 
-Instances turn all away for a while and ask for rest. Played on a virtual
-clock, with the choice and the allowance of the product; by hand:
+Instances reject all requests for a while and send ``Retry-After``. Runs on
+a simulated clock with the balancer and the retry budgets of the gateway:
 ``python -m bench.rests``.
 """
 
@@ -26,56 +26,61 @@
 
 _DOMAINS = ('d-0', 'd-1', 'd-2')
 _SEEDS = (1, 2, 3, 4, 5)
-_REST_S = 3
-_SHEDS_S = 6.0
-_PLAYED_S = 10.0
+_RETRY_AFTER_S = 3
+_OVERLOAD_S = 6.0
+_SIMULATED_S = 10.0
 _STEP_S = 0.005
-# A report's period, the leader's tick and the way back.
-_LAG_S = 0.3
-_RUNS_S = 0.3  # a request that is served
-_MOST_OFFERS = 3
-_HOT = 30  # prompts that share their first parts
+# From a rejection until all gateways know of it.
+_PROPAGATION_S = 0.3
+_SERVICE_TIME_S = 0.3
+_MAX_ATTEMPTS = 3
+_SHARED_PREFIXES = 30
 
 
 @attrs.frozen
-class Way:
-    """How rests are known.
+class Variant:
+    """How backoffs are distributed.
 
-    :ivar told: whether control tells them to all gateways
+    :ivar shared: whether all gateways learn of a backoff
     """
 
     name: str
-    told: bool
+    shared: bool
 
 
 @attrs.frozen(kw_only=True)
 class Load:
     """A fleet and its load.
 
-    :ivar shedding: how many instances turn all away
+    :ivar overloaded: number of instances that reject all requests
+    :ivar per_s: requests per second
     """
 
     gateways: int
     instances: int
-    shedding: int
+    overloaded: int
     per_s: float
 
 
 @attrs.define
-class Seen:
-    """What came of one play."""
+class Counts:
+    """Counts of one simulation.
+
+    :ivar refused: requests that no instance served
+    :ivar in_backoff: rejections by an instance in its backoff
+    """
 
     requests: int = 0
     refused: int = 0
     rejections: int = 0
-    in_rest: int = 0
+    in_backoff: int = 0
 
 
-_WAYS = (Way('each alone', False), Way('told to all', True))
+_VARIANTS = (Variant('per gateway', False), Variant('shared by all', True))
 _LOADS = (
-    Load(gateways=9, instances=6, shedding=2, per_s=90),
-    Load(gateways=9, instances=6, shedding=5, per_s=90),
-    Load(gateways=83, instances=93, shedding=10, per_s=700),
+    Load(gateways=9, instances=6, overloaded=2, per_s=90),
+    Load(gateways=9, instances=6, overloaded=5, per_s=90),
+    Load(gateways=83, instances=93, overloaded=10, per_s=700),
 )
 
 
@@ -92,19 +97,19 @@
         )
 
 
-class _Play:
-    """One play of one load."""
+class _Simulation:
+    """One run of a load."""
 
-    def __init__(self, load: Load, way: Way, seed: int) -> None:
+    def __init__(self, load: Load, variant: Variant, seed: int) -> None:
         random.seed(seed)
         self._load = load
-        self._way = way
+        self._variant = variant
         self._random = random.Random(seed)
         self._domains = {
             f'i-{number:03}': _DOMAINS[number % len(_DOMAINS)]
             for number in range(load.instances)
         }
-        self._shedding = set(list(self._domains)[: load.shedding])
+        self._overloaded = set(list(self._domains)[: load.overloaded])
         self._gateways = [
             _Gateway(
                 f'g-{number}',
@@ -113,32 +118,32 @@
             )
             for number in range(load.gateways)
         ]
-        self._asked: dict[tuple[int, str], float] = {}
+        self._backoff_starts: dict[tuple[int, str], float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self.seen = Seen()
+        self.counts = Counts()
 
     async def run(self) -> None:
-        """Play the load to its end."""
+        """Simulate the load to its end."""
         listed = choices.instance_list(self._domains)
-        for one in self._gateways:
-            one.balancer.update(listed, {}, 0.0)
-        while _now() < _PLAYED_S:
+        for gateway in self._gateways:
+            gateway.balancer.update(listed, {}, 0.0)
+        while _now() < _SIMULATED_S:
             await asyncio.sleep(_STEP_S)
             for number in range(len(self._gateways)):
-                share = self._load.per_s / self._load.gateways
-                if self._random.random() < share * _STEP_S:
+                rate_per_s = self._load.per_s / self._load.gateways
+                if self._random.random() < rate_per_s * _STEP_S:
                     self._start(number)
         for task in self._tasks:
             task.cancel()
 
     def _start(self, number: int) -> None:
-        self.seen.requests += 1
+        self.counts.requests += 1
         gateway = self._gateways[number]
         gateway.budgets.record_request(choices.SERVICE, _now())
         tried: set[str] = set()
         parts = self._parts()
-        for offer in range(_MOST_OFFERS):
-            if offer and not gateway.budgets.try_spend(
+        for attempt_number in range(_MAX_ATTEMPTS):
+            if attempt_number and not gateway.budgets.try_spend(
                 choices.SERVICE, _now()
             ):
                 break
@@ -148,68 +153,76 @@
                 ).instance
             except errors.NoInstance:
                 break
-            if chosen.id not in self._shedding or _now() > _SHEDS_S:
+            if chosen.id not in self._overloaded or _now() > _OVERLOAD_S:
                 task = asyncio.create_task(self._serve(gateway, chosen))
                 self._tasks.add(task)
                 return
             tried.add(chosen.id)
             self._reject(number, chosen)
-        self.seen.refused += 1
+        self.counts.refused += 1
 
     def _parts(self) -> tuple[prefixes.Part, ...]:
-        subject = f's-{self._random.randrange(_HOT)}'
-        own = f'o-{self._random.randrange(10**6)}'
-        return prefixes.Part(subject, 6000), prefixes.Part(own, 500)
+        prefix = f's-{self._random.randrange(_SHARED_PREFIXES)}'
+        suffix = f'o-{self._random.randrange(10**6)}'
+        return prefixes.Part(prefix, 6000), prefixes.Part(suffix, 500)
 
     async def _serve(self, gateway: _Gateway, chosen) -> None:
         with gateway.balancer.track(chosen):
-            await asyncio.sleep(_RUNS_S)
+            await asyncio.sleep(_SERVICE_TIME_S)
         gateway.balancer.record_success(chosen, ())
 
     def _reject(self, number: int, chosen) -> None:
-        self.seen.rejections += 1
+        self.counts.rejections += 1
         now = _now()
-        asked = self._asked.setdefault((number, chosen.id), now)
-        if 0.5 < now - asked < _REST_S:
-            self.seen.in_rest += 1
-        if now - asked >= _REST_S:
-            self._asked[number, chosen.id] = now
+        backoff_start = self._backoff_starts.setdefault(
+            (number, chosen.id), now
+        )
+        if 0.5 < now - backoff_start < _RETRY_AFTER_S:
+            self.counts.in_backoff += 1
+        if now - backoff_start >= _RETRY_AFTER_S:
+            self._backoff_starts[number, chosen.id] = now
         head = attempt.Head(
-            503, '', httputil.HTTPHeaders({'Retry-After': str(_REST_S)})
+            503, '', httputil.HTTPHeaders({'Retry-After': str(_RETRY_AFTER_S)})
         )
         self._gateways[number].wishes.observe(chosen, head, now)
-        if self._way.told:
+        if self._variant.shared:
             loop = asyncio.get_running_loop()
-            loop.call_later(_LAG_S, self._tell, chosen.id)
+            loop.call_later(_PROPAGATION_S, self._exclude, chosen.id)
 
-    def _tell(self, name: str) -> None:
-        """Have all gateways leave an instance alone while others are there."""
+    def _exclude(self, name: str) -> None:
+        """Make an instance unreachable on all gateways for its backoff."""
         loop = asyncio.get_running_loop()
-        for one in self._gateways:
-            one.balancer.set_unreachable(one.balancer._unreachable | {name})
-        loop.call_later(_REST_S - _LAG_S, self._let_go, name)
+        for gateway in self._gateways:
+            gateway.balancer.set_unreachable(
+                gateway.balancer._unreachable | {name}
+            )
+        loop.call_later(_RETRY_AFTER_S - _PROPAGATION_S, self._readmit, name)
 
-    def _let_go(self, name: str) -> None:
-        for one in self._gateways:
-            one.balancer.set_unreachable(one.balancer._unreachable - {name})
+    def _readmit(self, name: str) -> None:
+        for gateway in self._gateways:
+            gateway.balancer.set_unreachable(
+                gateway.balancer._unreachable - {name}
+            )
 
 
 def main() -> None:
-    """Play all loads both ways, and print what came of them."""
+    """Simulate all loads in both variants and print the mean counts."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     for load in _LOADS:
         print(load)
-        for way in _WAYS:
-            plays = [_Play(load, way, seed) for seed in _SEEDS]
-            for play in plays:
-                simulation.run(play.run())
-            print(f'  {way.name:12}', _summary([play.seen for play in plays]))
+        for variant in _VARIANTS:
+            runs = [_Simulation(load, variant, seed) for seed in _SEEDS]
+            for run in runs:
+                simulation.run(run.run())
+            print(
+                f'  {variant.name:12}', _summary([run.counts for run in runs])
+            )
 
 
-def _summary(seen: list[Seen]) -> str:
+def _summary(counts: list[Counts]) -> str:
     parts = []
-    for field in attrs.fields(Seen):
-        values = [getattr(one, field.name) for one in seen]
+    for field in attrs.fields(Counts):
+        values = [getattr(count, field.name) for count in counts]
         mean = statistics.mean(values)
         spread = statistics.stdev(values)
         parts.append(f'{field.name} {mean:.1f} ({spread:.1f})')
--- a/bench/subscribers.py
+++ b/bench/subscribers.py
@@ -1,4 +1,4 @@
-"""Stubs of routers: real sessions with control, nothing behind them."""
+"""Stub routers: real control sessions without a data plane."""
 
 import asyncio
 import time
@@ -13,7 +13,10 @@
 
 
 class _StubState(fleetstate.FleetState):
-    """Notes versions without keeping the bundle."""
+    """Records the times of applied versions without keeping the bundle.
+
+    :ivar applied: wall-clock time by version
+    """
 
     applied: dict[int, float]
 
@@ -25,7 +28,7 @@
 
 
 class Subscribers:
-    """Many routers' sessions in this process."""
+    """Control sessions of many stub routers in this process."""
 
     def __init__(self, world: worlds.World, count: int) -> None:
         self.counters = metrics.Metrics()
@@ -48,18 +51,18 @@
                 session.Session(
                     settings,
                     state,
-                    _fill,
-                    _ignore,
-                    _idle,
+                    _add_loads,
+                    _ignore_leader,
+                    _do_nothing,
                     suspects.SuspectTracker(self.counters),
                     self.counters,
                 )
             )
 
     async def start(self, world: worlds.World) -> None:
-        """Attach all; return once each has the accepted version."""
-        for one in self.sessions:
-            self._tasks.append(asyncio.create_task(one.run()))
+        """Start all sessions; return once each has a version."""
+        for control_session in self.sessions:
+            self._tasks.append(asyncio.create_task(control_session.run()))
         await world.wait_until(
             lambda: all(state.version for state in self.states),
             'all subscribers have a version',
@@ -67,27 +70,27 @@
         )
 
     async def stop(self) -> None:
-        """Detach all."""
+        """Cancel all sessions."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def bytes(self) -> float:
-        """Return the bytes sent and received."""
+        """Return the bytes that all sessions sent and received."""
         return sum(
             self.counters.counter('control_bytes', direction=direction)
             for direction in ('sent', 'received')
         )
 
 
-def _fill(report: pb.Report) -> None:
+def _add_loads(report: pb.Report) -> None:
     for number in range(6):
         report.loads.add(service=f'model-{number}', running=3)
 
 
-def _ignore(followed: bool) -> None:
+def _ignore_leader(followed: bool) -> None:
     return None
 
 
-def _idle() -> None:
+def _do_nothing() -> None:
     return None
