--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -48,7 +48,7 @@
     'the instances are fixed, and the request is sent to every gateway at once'
 )
 def step_fixed(context):
-    context.crashing.mended = True
+    context.crashing.is_fixed = True
     context.responses = context.run(_send_at_once(context))
 
 
@@ -99,7 +99,9 @@
 
 @behave.then('no more than {limit:d} instances have crashed')
 def step_most_crashed(context, limit):
-    assert context.crashing.seen.ends <= limit, context.crashing.seen.ends
+    assert context.crashing.counts.crashes <= limit, (
+        context.crashing.counts.crashes
+    )
 
 
 @behave.when('the request is sent until {count:d} instances have crashed')
@@ -117,14 +119,16 @@
     'between'
 )
 def step_sent_again(context, count):
-    context.reached_before = len(context.crashing.seen.ending)
+    context.reached_before = len(context.crashing.counts.crashing_ids)
     context.run(_send_rounds(context, count))
 
 
 @behave.then('it reached at most {limit:d} instances in that time')
 def step_reached(context, limit):
-    reached = len(context.crashing.seen.ending) - context.reached_before
-    assert reached <= limit, (reached, context.crashing.seen.ends)
+    reached = (
+        len(context.crashing.counts.crashing_ids) - context.reached_before
+    )
+    assert reached <= limit, (reached, context.crashing.counts.crashes)
 
 
 @behave.then('it was refused as not run each time')
@@ -155,18 +159,18 @@
 
 async def send_crashing(context, node):
     """Send the request that crashes instances, with a new id."""
-    return await context.platform.call(
+    return await context.platform.send_request(
         node,
-        f'ending-{next(context.numbers)}',
+        f'crashing-{next(context.numbers)}',
         _PATH,
-        crashing.ENDING.decode(),
+        crashing.FATAL_BODY.decode(),
     )
 
 
 async def _send_until(context, count):
     nodes = context.platform.nodes
     async with asyncio.timeout(_CRASHES_TIMEOUT_S):
-        while context.crashing.seen.ends < count:
+        while context.crashing.counts.crashes < count:
             node = nodes[next(context.numbers) % len(nodes)]
             await send_crashing(context, node)
 
@@ -189,7 +193,7 @@
 
 async def _send_other(context, node):
     number = next(context.numbers)
-    return await context.platform.call(
+    return await context.platform.send_request(
         node, f'other-{number}', f'/app/{number}', f'harmless {number}'
     )
 
--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -93,9 +93,9 @@
     node = platform.node(number)
     platform.send_signal(node, signal.SIGKILL)
     platform.launch(node)
-    context.run(platform.await_port(node))
+    context.run(platform.wait_for_port(node))
     platform.seeds = platform.seeds[1:]
-    platform.tell_settings(node)
+    platform.reload_settings(node)
 
 
 @behave.then('instance {number:d} still runs')
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -84,7 +84,9 @@
     platform = context.platform
     for node in platform.nodes:
         started_at = time.monotonic()
-        status, body = context.run(platform.call(node, f'late-{node.name}'))
+        status, body = context.run(
+            platform.send_request(node, f'late-{node.name}')
+        )
         assert status == 503, (status, body)
         assert json.loads(body)['error']['ran'] is False
         assert time.monotonic() - started_at < _REFUSAL_S
@@ -107,13 +109,15 @@
 
 
 async def _is_answered(platform, node, number):
-    status, _ = await platform.call(node, f'again-{number}')
+    status, _ = await platform.send_request(node, f'again-{number}')
     return status == _OK
 
 
 def _send_order(context, domain, verb):
     started_at = time.monotonic()
-    context.status = context.run(context.platform.evacuate(domain, verb))
+    context.status = context.run(
+        context.platform.order_evacuation(domain, verb)
+    )
     context.took_s = time.monotonic() - started_at
 
 
@@ -121,9 +125,11 @@
     platform = context.platform
     context.statuses = []
     for node in platform.nodes:
-        platform.only = node
-        context.statuses.append(context.run(platform.evacuate(domain, verb)))
-    platform.only = None
+        platform.target_node = node
+        context.statuses.append(
+            context.run(platform.order_evacuation(domain, verb))
+        )
+    platform.target_node = None
 
 
 async def _check_no_runs(context, nodes):
@@ -133,11 +139,13 @@
     """
     platform = context.platform
     await asyncio.sleep(_PROPAGATION_S)
-    run_count = len(platform.runs)
+    run_count = len(platform.executed_ids)
     deadline = time.monotonic() + _OBSERVATION_S
     number = 0
     while time.monotonic() < deadline:
         for node in nodes:
             number += 1
-            await platform.call(node, f'evacuated-{number}')
-    assert len(platform.runs) == run_count, platform.runs[run_count:]
+            await platform.send_request(node, f'evacuated-{number}')
+    assert len(platform.executed_ids) == run_count, platform.executed_ids[
+        run_count:
+    ]
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -19,7 +19,7 @@
 @behave.given('a platform of three instances with disks and one without')
 def step_platform(context):
     context.platform = platforms.Platform(context.folder)
-    context.platform.add_gateway()
+    context.platform.add_node_without_disk()
     context.run(context.platform.start())
     context.to_stop.append(context.platform.stop)
 
@@ -29,7 +29,7 @@
 )
 def step_platform_of_five(context):
     context.platform = platforms.Platform(context.folder)
-    context.platform.losses = 2
+    context.platform.tolerated_losses = 2
     context.platform.nodes += [
         context.platform.make_node(number) for number in (4, 5)
     ]
@@ -80,7 +80,9 @@
 @behave.when('an operator sends version {version:d} to any instance')
 def step_send(context, version):
     changes = {'version': version}
-    context.status = context.run(context.platform.replace(changes))
+    context.status = context.run(
+        context.platform.replace_configuration(changes)
+    )
 
 
 @behave.when(
@@ -88,7 +90,9 @@
 )
 def step_send_other(context, version):
     changes = {'version': version, 'limits': {'idle_timeout_ms': 777}}
-    context.status = context.run(context.platform.replace(changes))
+    context.status = context.run(
+        context.platform.replace_configuration(changes)
+    )
 
 
 @behave.when(
@@ -97,7 +101,9 @@
 )
 def step_send_invalid(context, version):
     changes = {'version': version, 'services': []}
-    context.status = context.run(context.platform.replace(changes))
+    context.status = context.run(
+        context.platform.replace_configuration(changes)
+    )
 
 
 @behave.when('all processes are killed and started again')
@@ -182,8 +188,10 @@
 @behave.when('an operator sends version {version:d} to instance {number:d}')
 def step_send_to(context, version, number):
     platform = context.platform
-    platform.only = platform.node(number)
-    context.status = context.run(platform.replace({'version': version}))
+    platform.target_node = platform.node(number)
+    context.status = context.run(
+        platform.replace_configuration({'version': version})
+    )
 
 
 @behave.then(
@@ -223,7 +231,9 @@
 @behave.then("a caller's request to each of them is answered")
 def step_answered(context):
     for number, node in enumerate(context.platform.nodes):
-        status, body = context.run(context.platform.call(node, f'q-{number}'))
+        status, body = context.run(
+            context.platform.send_request(node, f'q-{number}')
+        )
         assert (status, body) == (200, b'done for district'), (status, body)
 
 
@@ -250,10 +260,10 @@
 def step_refused_not_run(context, number):
     platform = context.platform
     node = platform.node(number)
-    status, body = context.run(platform.call(node, 'cut-off'))
+    status, body = context.run(platform.send_request(node, 'cut-off'))
     assert status == 503, (status, body)
     assert json.loads(body)['error']['ran'] is False
-    assert 'cut-off' not in platform.runs
+    assert 'cut-off' not in platform.executed_ids
 
 
 def check_ready(context, nodes, seconds):
@@ -292,7 +302,7 @@
     status, body = await platform.request(node, 2, '/api/configuration/read')
     if status != 200:
         return False
-    assert json.loads(body) == platform.sent[version], body
+    assert json.loads(body) == platform.configurations[version], body
     return True
 
 
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -55,7 +55,7 @@
 
 @behave.when('a request with the old key waits on its socket, and it resumes')
 def step_request_waits(context):
-    call = context.platform.call(context.suspended_node, 'woken')
+    call = context.platform.send_request(context.suspended_node, 'woken')
     context.response = context.run(_resume_during(context, call))
 
 
@@ -74,7 +74,7 @@
 
 @behave.then('that request was not run')
 def step_not_run(context):
-    assert 'woken' not in context.platform.runs, context.response
+    assert 'woken' not in context.platform.executed_ids, context.response
     status, body = context.response
     assert status in (401, 503), (status, body)
     assert json.loads(body)['error']['ran'] is False, body
@@ -100,9 +100,9 @@
     running = [
         node for node in platform.nodes if node is not context.suspended_node
     ]
-    platform.only = running[0]
-    context.status = context.run(platform.replace(changes))
-    platform.only = None
+    platform.target_node = running[0]
+    context.status = context.run(platform.replace_configuration(changes))
+    platform.target_node = None
 
 
 async def _resume_during(context, request):
--- a/features/support/crashing.py
+++ b/features/support/crashing.py
@@ -1,4 +1,4 @@
-"""Instances of a service that a certain request ends each time it runs."""
+"""Instances of a service that crash when they run a certain request."""
 
 import asyncio
 import contextlib
@@ -10,32 +10,32 @@
 from honeyport import local
 from honeyport.settings import roles
 
-ENDING = b'what no instance survives'
-_RUNS_S = 0.02  # from the start of a run to the end of its instance
-# Until an instance is back; the platform's list names it meanwhile.
-_BACK_S = 1.5
+FATAL_BODY = b'what no instance survives'
+_RUN_S = 0.02  # duration of each request, and until a crash
+_RESTART_S = 1.5  # after a crash; the instance stays in the list meanwhile
 _ZONE = 'thu-duc'
 
 
 @attrs.define
-class Seen:
-    """What reached the instances.
+class Counts:
+    """Counts of the requests that reached the instances.
 
-    :ivar ending: ids of the requests that end who runs them, as they arrived
-    :ivar others: how many other requests ran to their end
-    :ivar ends: how many instances ended
+    :ivar crashing_ids: ids of the crashing requests, in the order of arrival
+    :ivar completed_others: number of other requests that completed
+    :ivar crashes: number of crashes
     """
 
-    ending: list[str] = attrs.field(factory=list)
-    others: int = 0
-    ends: int = 0
+    crashing_ids: list[str] = attrs.field(factory=list)
+    completed_others: int = 0
+    crashes: int = 0
 
 
 class Instances:
-    """Some instances of the service ``app`` on a platform.
+    """Several instances of the service ``app`` on a platform.
 
-    :param keep_names: whether an instance is back under the name it had
-    :param silent: whether an instance ends without closing its connections
+    :param keep_names: whether an instance keeps its name after a crash
+    :param silent: whether a crash leaves connections open
+    :ivar is_fixed: whether the crashing request runs like any other
     """
 
     def __init__(
@@ -46,40 +46,45 @@
         keep_names: bool = False,
         silent: bool = False,
     ) -> None:
-        self.seen = Seen()
+        self.counts = Counts()
         self._platform = platform
         self._numbers = itertools.count(1)
         self._keep_names = keep_names
         self._silent = silent
-        self.mended = False
-        self._all = [_Instance(self) for _ in range(count)]
+        self.is_fixed = False
+        self._instances = [_Instance(self) for _ in range(count)]
 
     @property
     def silent(self) -> bool:
-        """Whether an instance ends without closing its connections."""
+        """Whether a crash leaves connections open."""
         return self._silent
 
     async def start(self) -> None:
-        """Start all, and list them."""
-        for instance in self._all:
+        """Start all instances and publish the list."""
+        for instance in self._instances:
             instance.name = self.next_name()
             await instance.start()
-        self.tell()
+        self.publish()
 
     async def stop(self) -> None:
-        """End all."""
-        for instance in self._all:
+        """Stop all instances."""
+        for instance in self._instances:
             await instance.stop()
 
-    def next_name(self, former: str = '') -> str:
-        """Return the name of an instance that starts."""
-        if former and self._keep_names:
-            return former
+    def next_name(self, previous_name: str = '') -> str:
+        """Return the name of an instance that starts.
+
+        :param previous_name: its name before a crash
+        """
+        if previous_name and self._keep_names:
+            return previous_name
         return f'i-{next(self._numbers)}'
 
-    def tell(self) -> None:
-        """Write the platform's list."""
-        self._platform.list_entries[:] = [one.to_entry() for one in self._all]
+    def publish(self) -> None:
+        """Write all instances into the platform's list."""
+        self._platform.list_entries[:] = [
+            instance.to_entry() for instance in self._instances
+        ]
 
 
 class _Instance:
@@ -91,7 +96,7 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._dark: list[asyncio.StreamWriter] = []
+        self._open_after_crash: list[asyncio.StreamWriter] = []
 
     def to_entry(self) -> dict[str, object]:
         """Return its entry in the platform's list."""
@@ -114,7 +119,7 @@
         for task in self._tasks:
             task.cancel()
         self._close()
-        for writer in self._dark:
+        for writer in self._open_after_crash:
             writer.transport.abort()
 
     def _close(self) -> None:
@@ -122,19 +127,19 @@
             self._server.close()
         for writer in self._writers:
             if self._group.silent:
-                self._dark.append(writer)
+                self._open_after_crash.append(writer)
             else:
                 writer.transport.abort()
         self._writers.clear()
 
-    async def _end_and_return(self) -> None:
-        """End as a process does; be back a little later."""
-        self._group.seen.ends += 1
+    async def _crash_and_restart(self) -> None:
+        """Close like a crashed process, and start again after a delay."""
+        self._group.counts.crashes += 1
         self._close()
-        await asyncio.sleep(_BACK_S)
+        await asyncio.sleep(_RESTART_S)
         self.name = self._group.next_name(self.name)
         await self.start()
-        self._group.tell()
+        self._group.publish()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -154,10 +159,10 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Run one request; return whether the connection goes on."""
+        """Run a request; return whether the connection stays open."""
         head = (await reader.readuntil(b'\r\n\r\n')).decode()
         headers = dict(
-            one.split(': ', 1) for one in head.strip().split('\r\n')[1:]
+            line.split(': ', 1) for line in head.strip().split('\r\n')[1:]
         )
         length = int(headers.get('Content-Length', 0))
         body = await reader.readexactly(length)
@@ -165,17 +170,17 @@
         if headers['Expected-Instance'] != name:
             writer.write(_answer(request_id, '421 Misdirected Request', b''))
             return True
-        ends = body == ENDING and not self._group.mended
-        if ends:
-            self._group.seen.ending.append(request_id)
-        await asyncio.sleep(_RUNS_S)
-        if ends:
-            if writer in self._writers:  # no other run has ended it yet
-                task = asyncio.create_task(self._end_and_return())
+        crashes = body == FATAL_BODY and not self._group.is_fixed
+        if crashes:
+            self._group.counts.crashing_ids.append(request_id)
+        await asyncio.sleep(_RUN_S)
+        if crashes:
+            if writer in self._writers:  # no other request has crashed it yet
+                task = asyncio.create_task(self._crash_and_restart())
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             return False
-        self._group.seen.others += 1
+        self._group.counts.completed_others += 1
         writer.write(_answer(request_id, '200 OK', b'done'))
         return True
 
--- a/features/support/platform.py
+++ b/features/support/platform.py
@@ -1,4 +1,4 @@
-"""The users' platform as far as the adapter sees it, on loopback."""
+"""A test double of the platform, with honeyport processes on loopback."""
 
 import asyncio
 import contextlib
@@ -49,7 +49,7 @@
 _ZONES = ('thu-duc', 'tan-binh', 'binh-chanh')
 _WITH_DISKS = (1, 2, 3)
 _WITHOUT_DISK = 9
-_ASK_S = 2.0
+_REQUEST_TIMEOUT_S = 2.0
 KEY = 'key-of-district'
 CONFIGURATION: dict[str, typing.Any] = {
     'version': 7,
@@ -78,7 +78,11 @@
 
 @attrs.define
 class Node:
-    """One instance of the system, its addresses and its process."""
+    """An instance of honeyport: its addresses, files and process.
+
+    :ivar data: the data folder, or ``None`` without a disk
+    :ivar suspended_s: how long its machine was suspended in all, in seconds
+    """
 
     number: int
     name: str
@@ -91,12 +95,12 @@
     suspended_s: float = 0.0
 
     @property
-    def suspended(self) -> pathlib.Path:
-        """The file that says for how long its machine was suspended."""
+    def suspended_file(self) -> pathlib.Path:
+        """The file that contains ``suspended_s``."""
         return self.settings.with_suffix('.suspended')
 
 
-class _Listing(web.RequestHandler):
+class _InstanceListHandler(web.RequestHandler):
     def initialize(self, platform: 'Platform') -> None:
         self._platform = platform
 
@@ -107,57 +111,65 @@
         self.write({'instances': self._platform.list_entries, 'next': None})
 
 
-class _Work(web.RequestHandler):
-    """The one instance of the service ``app``."""
+class _ServiceHandler(web.RequestHandler):
+    """The only instance of the service ``app``."""
 
     def initialize(self, platform: 'Platform') -> None:
         self._platform = platform
 
     def get(self) -> None:
         headers = self.request.headers
-        self._platform.runs.append(headers['Attempt-Id'])
+        self._platform.executed_ids.append(headers['Attempt-Id'])
         self.set_header('Attempt-Id', headers['Attempt-Id'])
         self.set_header('Response-Signature', 'd1')
         self.write('done for ' + headers['Tenant'])
 
 
 class Platform:
-    """Instances with and without disks, an instance list and a service."""
+    """Runs nodes with and without disks, an instance list and a service.
+
+    :ivar executed_ids: ids of the requests that the service ran
+    :ivar list_entries: the entries of the instance list
+    :ivar configurations: the acknowledged configurations by version
+    :ivar seeds: the IP addresses of the seeds in the settings
+    :ivar target_node: the node that gets all operator requests, or ``None``
+        for each node in turn
+    """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
         self._client = simple_httpclient.SimpleAsyncHTTPClient(
             force_instance=True
         )
-        self.runs: list[str] = []
+        self.executed_ids: list[str] = []
         self.list_entries: list[dict[str, typing.Any]] = []
         self.list_available = True
-        self.losses = 1
+        self.tolerated_losses = 1
         self.suspendable = False
-        self.sent: dict[int, typing.Any] = {}
+        self.configurations: dict[int, typing.Any] = {}
         self.ports = _free_ports(5)
         self.nodes = [self.make_node(number) for number in _WITH_DISKS]
         self.seeds = [node.ip for node in self.nodes]
-        self._asked = 0
-        self.only: Node | None = None
+        self._operator_requests = 0
+        self.target_node: Node | None = None
 
     def node(self, number: int) -> Node:
-        """Return the node that a scenario names by its number."""
+        """Return the node with a number."""
         return next(node for node in self.nodes if node.number == number)
 
-    def add_gateway(self) -> None:
-        """Have a node without a disk among those that start."""
+    def add_node_without_disk(self) -> None:
+        """Add a node without a disk, before the start."""
         self.nodes.append(self.make_node(_WITHOUT_DISK, disk=False))
 
     async def start(self) -> None:
-        """Start everything."""
-        self._cloud = local.free_address()
-        work = local.free_address()
+        """Start the servers and the processes of all nodes."""
+        self._list_address = local.free_address()
+        service_address = local.free_address()
         self.list_entries = [
             {
                 'id': 'i-1',
                 'service': 'app',
-                'address': work,
+                'address': service_address,
                 'zone': _ZONES[0],
                 'version': 'v1',
                 'slots': 8,
@@ -167,14 +179,17 @@
         ]
         options = {'platform': self}
         self._servers = [
-            _listen(self._cloud, [('/instances', _Listing, options)]),
-            _listen(work, [('/app/.*', _Work, options)]),
+            _listen(
+                self._list_address,
+                [('/instances', _InstanceListHandler, options)],
+            ),
+            _listen(service_address, [('/app/.*', _ServiceHandler, options)]),
         ]
         for node in self.nodes:
             self.launch(node, first=True)
 
     async def stop(self) -> None:
-        """End our own processes."""
+        """Kill the processes of all nodes and stop the servers."""
         for node in self.nodes:
             if node.process is not None:
                 node.process.kill()
@@ -183,28 +198,31 @@
             server.stop()
 
     def set_seeds(self, nodes: list[Node]) -> None:
-        """Write other seeds into the settings of all, and say so."""
+        """Change the seeds in all settings, and make all nodes reload them."""
         self.seeds = [node.ip for node in nodes]
         for node in self.nodes:
-            self.tell_settings(node)
+            self.reload_settings(node)
 
-    def tell_settings(self, node: Node) -> None:
-        """Write the settings of a node anew, and say so."""
+    def reload_settings(self, node: Node) -> None:
+        """Write a node's settings again, and send it SIGHUP."""
         self._write_settings(node, first=False)
         self.send_signal(node, signal.SIGHUP)
 
     def launch(self, node: Node, *, first: bool = False) -> None:
-        """Start a node's process."""
+        """Start a node's process.
+
+        :param first: whether the whole system starts for the first time
+        """
         self._write_settings(node, first=first)
         program = [str(_ROOT / 'launch.py')]
-        variables = {'HONEYPORT_BOOT': str(node.settings)}
+        environment = {'HONEYPORT_BOOT': str(node.settings)}
         if self.suspendable:
             program.insert(0, str(_SUSPENDABLE))
-            variables[suspendable.VARIABLE] = str(node.suspended)
-            self._note_suspended(node)
+            environment[suspendable.PATH_VARIABLE] = str(node.suspended_file)
+            self._write_suspended(node)
         node.process = subprocess.Popen(
             [sys.executable, *program],
-            env={**os.environ, **variables},
+            env={**os.environ, **environment},
             stdout=node.log.open('ab'),
             stderr=subprocess.STDOUT,
         )
@@ -215,26 +233,26 @@
         node.suspended_s -= time.monotonic()
 
     def resume(self, node: Node) -> None:
-        """Wake a node's machine."""
+        """Resume a node's machine."""
         node.suspended_s += time.monotonic()
-        self._note_suspended(node)
+        self._write_suspended(node)
         self.send_signal(node, signal.SIGCONT)
 
-    def _note_suspended(self, node: Node) -> None:
-        # In place: the process has the file mapped.
-        mode = 'r+b' if node.suspended.exists() else 'wb'
-        with node.suspended.open(mode) as file:
-            file.write(suspendable.SECONDS.pack(node.suspended_s))
+    def _write_suspended(self, node: Node) -> None:
+        # Written in place, because the process has the file mapped.
+        mode = 'r+b' if node.suspended_file.exists() else 'wb'
+        with node.suspended_file.open(mode) as file:
+            file.write(suspendable.DURATION_S.pack(node.suspended_s))
 
     def send_signal(self, node: Node, number: signal.Signals) -> None:
-        """Send a signal to a node's process."""
+        """Send a signal to a node's process; after SIGKILL await its end."""
         assert node.process is not None
         node.process.send_signal(number)
         if number == signal.SIGKILL:
             node.process.wait()
 
-    async def await_port(self, node: Node) -> None:
-        """Return when a node listens for callers."""
+    async def wait_for_port(self, node: Node) -> None:
+        """Wait until a node listens for callers."""
         while True:
             try:
                 _, writer = await asyncio.open_connection(
@@ -246,27 +264,44 @@
             writer.close()
             return
 
-    async def replace(self, change: dict[str, typing.Any]) -> int:
-        """Send a configuration until there is a clear response."""
-        tree = {**copy.deepcopy(CONFIGURATION), **change}
+    async def replace_configuration(
+        self, changes: dict[str, typing.Any]
+    ) -> int:
+        """Send a configuration until it is acknowledged or refused.
+
+        :param changes: the fields that differ from ``CONFIGURATION``
+        :returns: the HTTP status
+        """
+        configuration = {**copy.deepcopy(CONFIGURATION), **changes}
         while True:
-            node = self.only or self.nodes[self._asked % len(self.nodes)]
-            self._asked += 1
+            node = (
+                self.target_node
+                or self.nodes[self._operator_requests % len(self.nodes)]
+            )
+            self._operator_requests += 1
             status, _ = await self.request(
-                node, 2, '/api/configuration/replace', tree
+                node, 2, '/api/configuration/replace', configuration
             )
             if status in (200, 400):
                 if status == 200:
-                    self.sent.setdefault(tree['version'], tree)
+                    self.configurations.setdefault(
+                        configuration['version'], configuration
+                    )
                 return status
             await asyncio.sleep(0.05)
 
-    async def evacuate(self, domain: str, verb: str) -> int:
-        """Send an order for a failure domain until it is clear."""
+    async def order_evacuation(self, domain: str, verb: str) -> int:
+        """Send an evacuation order until it is acknowledged or refused.
+
+        :returns: the HTTP status
+        """
         path = f'/api/evacuations/{domain}/{verb}'
         while True:
-            node = self.only or self.nodes[self._asked % len(self.nodes)]
-            self._asked += 1
+            node = (
+                self.target_node
+                or self.nodes[self._operator_requests % len(self.nodes)]
+            )
+            self._operator_requests += 1
             status, _ = await self.request(node, 2, path, b'')
             if 0 < status < 500:
                 return status
@@ -280,7 +315,11 @@
         body: typing.Any = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, bytes]:
-        """Ask one port of a node; status 0 if nothing came."""
+        """Send a request to a port of a node.
+
+        :param port: the port's index in ``ports``
+        :returns: status and body; status 0 without a response
+        """
         url = f'http://{node.ip}:{self.ports[port]}{path}'
         response = await self.fetch(url, body, headers, redirects=2)
         if response is None:
@@ -295,14 +334,14 @@
         *,
         redirects: int = 0,
     ) -> httpclient.HTTPResponse | None:
-        """Return the answer to one call, or ``None`` if nothing came."""
+        """Return the response to a request, or ``None`` without one."""
         request = httpclient.HTTPRequest(
             url,
             method='POST' if body is not None else 'GET',
             body=_to_bytes(body),
             headers=headers or {},
-            request_timeout=_ASK_S,
-            connect_timeout=_ASK_S,
+            request_timeout=_REQUEST_TIMEOUT_S,
+            connect_timeout=_REQUEST_TIMEOUT_S,
             follow_redirects=redirects > 0,
             max_redirects=redirects,
         )
@@ -311,10 +350,14 @@
         except (OSError, httpclient.HTTPError):
             return None
 
-    async def call(
+    async def send_request(
         self, node: Node, name: str, path: str = '/app/x', text: str = ''
     ) -> tuple[int, bytes]:
-        """Send a caller's request to a node; POST if it has a text."""
+        """Send a caller's request to a node; POST if it has a text.
+
+        :param name: the id of the attempt
+        :returns: status and body; status 0 without a response
+        """
         headers = {
             'Host': 'yard.example',
             'Authorization': f'Bearer {KEY}',
@@ -326,7 +369,7 @@
         )
 
     def make_node(self, number: int, *, disk: bool = True) -> Node:
-        """Return a node whose process is not started yet."""
+        """Return a new node, without starting its process."""
         zone = _ZONES[(number - 1) % len(_ZONES)]
         name = f'edge-{zone}-{number}'
         octet = local.HOST.rpartition('.')[2]
@@ -354,14 +397,14 @@
                 seeds=seeds,
                 bootstrap=str(first).lower(),
                 data=node.data or '',
-                cloud=self._cloud,
-                losses=self.losses,
+                cloud=self._list_address,
+                losses=self.tolerated_losses,
             )
         )
 
 
 def _to_bytes(body: typing.Any) -> bytes | None:
-    """Return what is sent: bytes as they are, anything else as JSON."""
+    """Return a body as bytes, encoded as JSON unless it is bytes."""
     if body is None or isinstance(body, bytes):
         return body
     return json.dumps(body).encode()
@@ -374,7 +417,7 @@
 
 
 def _free_ports(count: int) -> list[int]:
-    """Return ports that the system chose, the same on all hosts."""
+    """Return free ports, chosen by the operating system."""
     with contextlib.ExitStack() as probes:
         ports = []
         for _ in range(count):
--- a/features/support/power.py
+++ b/features/support/power.py
@@ -1,9 +1,9 @@
-"""A disk that keeps only what was synced when its power goes.
+"""A simulated disk that loses unsynced data when it loses power.
 
-It stands below the real storage code, in place of the operating system's
-file system: after a loss of power each write since the last sync of its
-file is there, missing or torn, and so is each name since the last sync of
-its folder. A full disk refuses every write.
+It replaces the operating system's file system below the storage code. After a
+loss of power each write since the last sync of its file is kept, lost or torn,
+and each name since the last sync of its folder is kept or lost. A full disk
+refuses every write.
 """
 
 import errno
@@ -16,25 +16,30 @@
 
 @attrs.define
 class _File:
-    """Contents as a process sees them, and what is sure to last."""
+    """The contents of a file, and what survives a loss of power.
 
-    lasting: bytes = b''
+    :ivar synced: the contents at the last sync
+    :ivar current: the contents that a process reads
+    :ivar pending: the writes since the last sync: the length before, and the
+        bytes
+    """
+
+    synced: bytes = b''
     current: bytearray = attrs.field(factory=bytearray)
-    # What was done since the last sync: the length before, and the bytes.
     pending: list[tuple[int, bytes]] = attrs.field(factory=list)
 
     def sync(self) -> None:
-        self.lasting = bytes(self.current)
+        self.synced = bytes(self.current)
         self.pending.clear()
 
-    def lose_power(self, chance: random.Random) -> None:
-        """Keep a part of what was not synced, in the order of writing."""
-        kept = bytearray(self.lasting)
+    def lose_power(self, rng: random.Random) -> None:
+        """Keep the unsynced writes up to a random one, which may be torn."""
+        kept = bytearray(self.synced)
         for start, data in self.pending:
-            if chance.random() < 1 / 3:
+            if rng.random() < 1 / 3:
                 break
-            torn = chance.random() < 1 / 2
-            part = data[: chance.randrange(len(data) + 1)] if torn else data
+            torn = rng.random() < 1 / 2
+            part = data[: rng.randrange(len(data) + 1)] if torn else data
             kept[start:] = part
             if torn:
                 break
@@ -43,7 +48,7 @@
 
 
 class _Handle:
-    """A file that is open for writing at its end."""
+    """A file that is open for appending."""
 
     def __init__(self, disk: 'Disk', file: _File) -> None:
         self._disk = disk
@@ -69,20 +74,20 @@
 class Disk:
     """The files of one replica.
 
-    :param chance: decides what a loss of power leaves
-    :ivar full: whether it takes no more bytes
-    :ivar ignores_syncs: whether a sync does nothing, as a proof that the
-        tests would notice
+    :param rng: selects what survives a loss of power
+    :ivar full: whether writes fail
+    :ivar ignores_syncs: whether a sync does nothing, to prove that the tests
+        detect lost data
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._names: dict[pathlib.Path, _File] = {}
-        self._lasting_names: dict[pathlib.Path, _File] = {}
+        self._synced_names: dict[pathlib.Path, _File] = {}
         self.full = False
         self.ignores_syncs = False
 
-    # -- what the storage calls ------------------------------------------
+    # -- file system operations ------------------------------------------
 
     def make_folder(self, path: pathlib.Path) -> None:
         pass
@@ -113,21 +118,23 @@
 
     def sync_folder(self, path: pathlib.Path) -> None:
         if not self.ignores_syncs:
-            self._lasting_names = dict(self._names)
+            self._synced_names = dict(self._names)
 
-    # -- what happens to it ----------------------------------------------
+    # -- faults ----------------------------------------------------------
 
     def lose_power(self) -> None:
-        """Forget what was not synced, or a part of it."""
+        """Lose a random part of the unsynced writes and names."""
         names = {}
-        for path in {**self._lasting_names, **self._names}:
-            before = self._lasting_names.get(path)
-            after = self._names.get(path)
-            kept = after if self._chance.random() < 1 / 2 else before
+        for path in {**self._synced_names, **self._names}:
+            synced = self._synced_names.get(path)
+            unsynced = self._names.get(path)
+            kept = unsynced if self._rng.random() < 1 / 2 else synced
             if kept is not None:
                 names[path] = kept
-        # A file that was renamed may stand under both of its names.
-        for file in {id(one): one for one in names.values()}.values():
-            file.lose_power(self._chance)
+        # A renamed file may have kept both of its names.
+        for file in {
+            id(kept_file): kept_file for kept_file in names.values()
+        }.values():
+            file.lose_power(self._rng)
         self._names = names
-        self._lasting_names = dict(names)
+        self._synced_names = dict(names)
--- a/features/support/relay.py
+++ b/features/support/relay.py
@@ -1,4 +1,4 @@
-"""A loopback relay that can be cut: a partition in front of an address."""
+"""A TCP relay on loopback that simulates network partitions."""
 
 import asyncio
 import contextlib
@@ -8,50 +8,51 @@
 
 
 class Relay:
-    """Passes connections on until it is cut.
+    """Forwards connections to a target.
 
-    A cut relay keeps its connections open and passes nothing on, as a
-    network does that drops packets.
+    While it is cut, it keeps connections open and forwards nothing, like a
+    network that drops packets.
 
-    :ivar delay_s: how long each piece is held up
+    :ivar address: where it listens
+    :ivar delay_s: delay of each chunk, in seconds
     """
 
     def __init__(self, target: str) -> None:
         self.address = local.free_address()
         self.delay_s = 0.0
         self._target = target
-        self._there = asyncio.Event()
-        self._back = asyncio.Event()
+        self._to_target_open = asyncio.Event()
+        self._from_target_open = asyncio.Event()
         self.heal()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         host, port = roles.split_address(self.address)
         self._server = await asyncio.start_server(self._accept, host, port)
 
     def cut(self, *, to_target: bool = True, from_target: bool = True) -> None:
-        """Pass nothing on from now on, in one direction or both."""
+        """Stop forwarding in one direction or both."""
         if to_target:
-            self._there.clear()
+            self._to_target_open.clear()
         if from_target:
-            self._back.clear()
+            self._from_target_open.clear()
 
     def heal(self) -> None:
-        """Pass on again what comes, and what had come."""
-        self._there.set()
-        self._back.set()
+        """Resume forwarding, including the data received meanwhile."""
+        self._to_target_open.set()
+        self._from_target_open.set()
 
     def close_connections(self) -> int:
-        """Close all connections; return how many there were."""
+        """Close all connections; return their number."""
         count = len(self._tasks)
         for task in list(self._tasks):
             task.cancel()
         return count
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -65,13 +66,17 @@
         assert task is not None
         self._tasks.add(task)
         try:
-            await self._there.wait()
-            far = await asyncio.open_connection(
+            await self._to_target_open.wait()
+            target = await asyncio.open_connection(
                 *roles.split_address(self._target)
             )
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pass(reader, far[1], self._there))
-                group.create_task(self._pass(far[0], writer, self._back))
+                group.create_task(
+                    self._forward(reader, target[1], self._to_target_open)
+                )
+                group.create_task(
+                    self._forward(target[0], writer, self._from_target_open)
+                )
         except* OSError:
             pass
         except* asyncio.CancelledError:
@@ -80,7 +85,7 @@
             writer.close()
             self._tasks.discard(task)
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
--- a/features/support/suspendable.py
+++ b/features/support/suspendable.py
@@ -1,8 +1,8 @@
-"""Runs a program on a machine that a test may suspend.
+"""Run a program as on a machine that a test can suspend.
 
-As on a machine that is suspended, its steady clock stands still meanwhile;
-``CLOCK_BOOTTIME`` and the time of day go on. The test stops the process by a
-signal and writes into a file for how long that was in all.
+The test stops the process by a signal and writes the total duration into a
+file. The monotonic clock does not count this time; ``CLOCK_BOOTTIME`` and the
+time of day do.
 """
 
 import mmap
@@ -12,22 +12,24 @@
 import sys
 import time
 
-VARIABLE = 'HONEYPORT_TEST_SUSPENDED'  # names the file
-SECONDS = struct.Struct('<d')
+PATH_VARIABLE = 'HONEYPORT_TEST_SUSPENDED'  # holds the path of the file
+DURATION_S = struct.Struct('<d')
 
 
 def main() -> None:
-    """Run the program that the command line names."""
-    with open(os.environ[VARIABLE], 'rb') as file:
-        view = mmap.mmap(file.fileno(), SECONDS.size, prot=mmap.PROT_READ)
-    steady = time.monotonic
+    """Run the program in the first argument."""
+    with open(os.environ[PATH_VARIABLE], 'rb') as file:
+        mapping = mmap.mmap(
+            file.fileno(), DURATION_S.size, prot=mmap.PROT_READ
+        )
+    system_monotonic = time.monotonic
 
     def monotonic() -> float:
-        [suspended_s] = SECONDS.unpack_from(view)
-        return steady() - suspended_s
+        [suspended_s] = DURATION_S.unpack_from(mapping)
+        return system_monotonic() - suspended_s
 
     time.monotonic = monotonic
-    # This folder has a module named like one of the standard library.
+    # This folder contains a module with the name of a standard one.
     sys.path.pop(0)
     runpy.run_path(sys.argv[1], run_name='__main__')
 
