--- a/features/steps/library_steps.py
+++ b/features/steps/library_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the callers' library and the routers that it knows."""
+"""Steps that send chats through the client library."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from honeyport import client
 
-_DEADLINE_S = 20.0
+_CHAT_DEADLINE_S = 20.0
 
 
 @behave.given('a callers\' library that was given "{name}" alone')
@@ -22,29 +22,31 @@
 
 @behave.when('{count:d} chats go through the library')
 def step_chats(context, count):
-    context.run(_talk(context, 'old', count))
+    context.run(_send_chats(context, 'old', count))
 
 
 @behave.when('"{name}" is gone for good')
-def step_gone(context, name):
+def step_killed(context, name):
     context.run(context.world.kill(name))
 
 
 @behave.then('{count:d} new chats through the library are answered whole')
 def step_new_chats(context, count):
-    context.run(_talk(context, 'new', count))
+    context.run(_send_chats(context, 'new', count))
 
 
-async def _talk(context, prefix, count):
+async def _send_chats(context, prefix, count):
     async with asyncio.TaskGroup() as group:
         for number in range(count):
-            group.create_task(_chat(context.library, f'{prefix}-{number}'))
+            group.create_task(
+                _send_chat(context.library, f'{prefix}-{number}')
+            )
 
 
-async def _chat(library, name):
-    """Take part in one chat; raises unless its answer is whole."""
+async def _send_chat(library, name):
+    """Send a chat; raise unless its answer is complete."""
     messages = [{'role': 'user', 'content': name}]
     async for _ in library.chat(
-        'draft-llm', name, messages, deadline_s=_DEADLINE_S, max_tokens=10
+        'draft-llm', name, messages, deadline_s=_CHAT_DEADLINE_S, max_tokens=10
     ):
         pass
--- a/features/steps/telemetry_steps.py
+++ b/features/steps/telemetry_steps.py
@@ -14,7 +14,7 @@
 from honeyport.telemetry import output
 
 
-def _line(instance, second, event, request):
+def _log_line(instance, second, event, request):
     """Return a log line about a request, with a collector's prefix."""
     return 'prefix ' + json.dumps(
         {
@@ -32,11 +32,11 @@
     context.logs = [
         [
             'not a log line',
-            _line('edge-1', 10, 'attempt_failed', request),
-            _line('edge-1', 11, 'request_served', 'another'),
-            _line('edge-1', 12, 'request_broken', request),
+            _log_line('edge-1', 10, 'attempt_failed', request),
+            _log_line('edge-1', 11, 'request_served', 'another'),
+            _log_line('edge-1', 12, 'request_broken', request),
         ],
-        [_line('edge-2', 18, 'request_served', request)],
+        [_log_line('edge-2', 18, 'request_served', request)],
     ]
 
 
--- a/src/honeyport/errors.py
+++ b/src/honeyport/errors.py
@@ -345,7 +345,7 @@
 class NoInstance(HoneyportError):
     status = 503
     ran = False
-    hint = 'The service has no known instance; it was not run.'
+    hint = 'No instance of the service is available; it was not run.'
 
 
 @register('HP-3210')
--- a/src/honeyport/local.py
+++ b/src/honeyport/local.py
@@ -90,8 +90,8 @@
         roles.Service(name='field-app-1', domain=_DOMAIN, listen=site.service),
         tree,
     )
-    public = signing.write_new_key(str(folder), 'local')
-    signed = _bundle(site, public)
+    public_key = signing.write_new_key(str(folder), 'local')
+    signed = _bundle(site, public_key)
     signed = signing.sign(signed, str(folder / 'local.pem'))
     seed_path = folder / 'bundle.json'
     seed_path.write_text(signed.to_json(), encoding='utf-8')
@@ -102,7 +102,7 @@
             listen=control,
             data=str(folder / 'data'),
             members={'control': control},
-            signers={'local': public},
+            signers={'local': public_key},
             seed=str(seed_path),
             election_ms=100,
             heartbeat_ms=30,
@@ -160,7 +160,7 @@
             return address
 
 
-def _bundle(site: Site, public: str) -> signing.Signed:
+def _bundle(site: Site, public_key: str) -> signing.Signed:
     backends: dict[str, typing.Any] = {
         f'draft-llm-{number}': model.Backend(
             service='draft-llm', address=address, domain=_DOMAIN
@@ -172,7 +172,7 @@
     )
     bundle = model.Bundle(
         version=1,
-        signers=model.Signers(keys={'local': public}),
+        signers=model.Signers(keys={'local': public_key}),
         models={'draft': model.Model(version='1')},
         services={
             'draft-llm': model.Service(kind=model.ENGINE, model='draft'),
--- a/src/honeyport/operators.py
+++ b/src/honeyport/operators.py
@@ -117,9 +117,9 @@
     lines += [f'evacuated {domain}' for domain in answer.evacuated]
     for replica in answer.replicas:
         member = replica.replica
-        kind = 'voter' if member.voter else 'learner'
+        role = 'voter' if member.voter else 'learner'
         lines.append(
-            f'control {member.name:<16} {member.address:<21} {kind:<8} '
+            f'control {member.name:<16} {member.address:<21} {role:<8} '
             f'has {replica.matched}'
         )
     for router in answer.routers:
--- a/src/honeyport/settings/document.py
+++ b/src/honeyport/settings/document.py
@@ -53,7 +53,7 @@
             ) from None
         if node is None:
             raise self._error(f'{self._name}:1: the file is empty')
-        return self._value(node, cls, '')
+        return self._convert(node, cls, '')
 
     def fail(
         self, node: yaml.Node, path: str, expected: str
@@ -67,93 +67,101 @@
         prefix = f'{path}: ' if path else ''
         raise self._error(f'{self._name}:{line}: {prefix}expected {expected}')
 
-    def _value(
-        self, node: yaml.Node, kind: typing.Any, path: str
+    def _convert(
+        self, node: yaml.Node, expected_type: typing.Any, path: str
     ) -> typing.Any:
-        if attrs.has(kind):
-            return self._object(node, kind, path)
-        origin = typing.get_origin(kind)
+        if attrs.has(expected_type):
+            return self._convert_object(node, expected_type, path)
+        origin = typing.get_origin(expected_type)
         if origin is dict:
-            return self._mapping(node, typing.get_args(kind)[1], path)
+            return self._convert_mapping(
+                node, typing.get_args(expected_type)[1], path
+            )
         if origin is tuple:
-            return self._sequence(node, typing.get_args(kind)[0], path)
+            return self._convert_sequence(
+                node, typing.get_args(expected_type)[0], path
+            )
         if origin is types.UnionType:
-            return self._optional(node, kind, path)
-        return self._scalar(node, kind, path)
+            return self._convert_optional(node, expected_type, path)
+        return self._convert_scalar(node, expected_type, path)
 
-    def _object(self, node: yaml.Node, cls: type[T], path: str) -> T:
+    def _convert_object(self, node: yaml.Node, cls: type[T], path: str) -> T:
         values = {}
         fields = {
             f.name: f for f in attrs.fields(typing.cast(typing.Any, cls))
         }
-        for key, child in self._pairs(node, path):
+        for key, child in self._key_value_pairs(node, path):
             child_path = f'{path}.{key}' if path else key
             if key not in fields:
                 known = ', '.join(sorted(fields))
                 self.fail(child, child_path, f'one of the fields {known}')
-            value = self._value(child, fields[key].type, child_path)
+            value = self._convert(child, fields[key].type, child_path)
             check = fields[key].metadata.get('check')
             expected = check(value) if check and value is not None else None
             if expected:
                 self.fail(child, child_path, f'{expected}, got {value!r}')
             values[key] = value
-        for name, spec in fields.items():
-            if spec.default is attrs.NOTHING and name not in values:
-                child_path = f'{path}.{name}' if path else name
-                self.fail(node, child_path, 'a value; the field is missing')
+        for name, field in fields.items():
+            if field.default is attrs.NOTHING and name not in values:
+                field_path = f'{path}.{name}' if path else name
+                self.fail(node, field_path, 'a value; the field is missing')
         return cls(**values)
 
-    def _mapping(
-        self, node: yaml.Node, kind: typing.Any, path: str
+    def _convert_mapping(
+        self, node: yaml.Node, expected_type: typing.Any, path: str
     ) -> dict[str, typing.Any]:
         return {
-            key: self._value(child, kind, f'{path}.{key}')
-            for key, child in self._pairs(node, path)
+            key: self._convert(child, expected_type, f'{path}.{key}')
+            for key, child in self._key_value_pairs(node, path)
         }
 
-    def _pairs(
+    def _key_value_pairs(
         self, node: yaml.Node, path: str
     ) -> typing.Iterator[tuple[str, yaml.Node]]:
         if not isinstance(node, yaml.MappingNode):
             self.fail(node, path, 'a mapping')
-        seen = set()
+        seen_keys = set()
         for key, child in node.value:
-            if key.value in seen:
+            if key.value in seen_keys:
                 self.fail(key, path, f'the key {key.value!r} only once')
-            seen.add(key.value)
+            seen_keys.add(key.value)
             yield key.value, child
 
-    def _sequence(
-        self, node: yaml.Node, kind: typing.Any, path: str
+    def _convert_sequence(
+        self, node: yaml.Node, expected_type: typing.Any, path: str
     ) -> tuple[typing.Any, ...]:
         if not isinstance(node, yaml.SequenceNode):
             self.fail(node, path, 'a list')
         return tuple(
-            self._value(child, kind, f'{path}[{position}]')
+            self._convert(child, expected_type, f'{path}[{position}]')
             for position, child in enumerate(node.value)
         )
 
-    def _optional(
-        self, node: yaml.Node, kind: typing.Any, path: str
+    def _convert_optional(
+        self, node: yaml.Node, expected_type: typing.Any, path: str
     ) -> typing.Any:
         if node.tag == 'tag:yaml.org,2002:null':
             return None
-        inner = [arg for arg in typing.get_args(kind) if arg is not type(None)]
-        return self._value(node, inner[0], path)
-
-    def _scalar(
-        self, node: yaml.Node, kind: typing.Any, path: str
+        inner_types = [
+            arg
+            for arg in typing.get_args(expected_type)
+            if arg is not type(None)
+        ]
+        return self._convert(node, inner_types[0], path)
+
+    def _convert_scalar(
+        self, node: yaml.Node, expected_type: typing.Any, path: str
     ) -> typing.Any:
-        expected = _TYPE_NAMES.get(kind, 'true or false')
+        expected = _TYPE_NAMES.get(expected_type, 'true or false')
         if not isinstance(node, yaml.ScalarNode):
             self.fail(node, path, expected)
         tag_type = _TYPES_BY_TAG.get(node.tag)
         value = (
             yaml.safe_load(node.value) if tag_type is not str else node.value
         )
-        if kind is float and tag_type is int:
+        if expected_type is float and tag_type is int:
             return float(value)
-        if tag_type is not kind:
+        if tag_type is not expected_type:
             self.fail(node, path, f'{expected}, got {node.value!r}')
         return value
 
--- a/src/honeyport/telemetry/events.py
+++ b/src/honeyport/telemetry/events.py
@@ -447,8 +447,8 @@
     3209,
     'instance_avoided',
     'warning',
-    'An instance failed; this gateway sends it no requests for the '
-    'given pause.',
+    'An instance failed; this gateway sends it no requests until a pause is '
+    'over.',
 )
 INSTANCES_APPLIED = define(
     3210,
@@ -486,7 +486,7 @@
     3215,
     'rest_asked',
     'warning',
-    'An instance asked this gateway for a pause in requests (Retry- After).',
+    'An instance asked this gateway for a pause in requests, by Retry-After.',
 )
 RESTING_USED = define(
     3216,
--- a/src/honeyport/telemetry/losses.py
+++ b/src/honeyport/telemetry/losses.py
@@ -70,10 +70,10 @@
     """Return the stage that took most of the time to the first byte."""
     waited_ms = fields.get('waited_ms') or 0.0
     connect_ms = fields.get('connect_ms') or 0.0
-    rest_ms = (fields.get('first_ms') or 0.0) - waited_ms - connect_ms
-    if waited_ms >= max(connect_ms, rest_ms):
+    remaining_ms = (fields.get('first_ms') or 0.0) - waited_ms - connect_ms
+    if waited_ms >= max(connect_ms, remaining_ms):
         return 'waited for the lease'
-    if connect_ms >= rest_ms:
+    if connect_ms >= remaining_ms:
         return 'connecting to instances'
     if (fields.get('offers') or 1) > 1:
         return 'several offers'
