--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""What behave runs around scenarios."""
+"""Hooks that behave calls before and after scenarios."""
 
 import asyncio
 import pathlib
@@ -10,7 +10,7 @@
 
 
 def before_all(context):
-    # A descriptor of its own: behave's output must stay blocking.
+    # A separate file: the log makes its descriptor non-blocking.
     context.log = (pathlib.Path(tempfile.mkdtemp()) / 'log').open('w')
     logs.configure('error', descriptor=context.log.fileno(), instance='test')
 
--- a/features/run.py
+++ b/features/run.py
@@ -1,14 +1,13 @@
-"""Runs all features; the last line is ``N passed, N failed``.
+"""Run features; the last line is ``N passed, N failed``.
 
-Every scenario runs in a process of its own, several at a time, each on a
-loopback host of its own, so that no two want the same port, also where two
-checkouts are tested at once. Those with the tag ``alone`` judge what shows
-only with processor time to spare; they run one at a time, after all others.
+Every scenario runs in a subprocess on its own loopback host, several at a
+time, so that ports never collide, also between parallel test runs. Scenarios
+with the tag ``alone`` are sensitive to load; they run one at a time after all
+others.
 
-A scenario named in ``KNOWN-RED.txt`` may fail: it is printed, and counts
-neither way. One that is named there and passes counts as a failure, so
-that the list stays true; but where its cause begins with "sometimes", it
-shows only under load and may pass.
+A scenario listed in ``KNOWN-RED.txt`` may fail; it is printed, but not counted
+as failed. A listed scenario that passes counts as a failure, unless its cause
+begins with "sometimes", which marks failures that occur only under load.
 """
 
 import collections.abc
@@ -27,31 +26,35 @@
 from behave import parser
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_KNOWN_RED = _ROOT / 'KNOWN-RED.txt'
-# In what lands; while faults are worked on, each has its failing test listed.
-_MOST_RED = 3
-_MOST_RED_AT_WORK = 8
-_SOMETIMES = 'sometimes'
-_ALONE = 'alone'
+_KNOWN_FAILURES_FILE = _ROOT / 'KNOWN-RED.txt'
+# Maximum numbers of entries in CI and in a working copy.
+_MAX_KNOWN_FAILURES_CI = 3
+_MAX_KNOWN_FAILURES = 8
+_FLAKY_PREFIX = 'sometimes'
+_ALONE_TAG = 'alone'
 _WORKERS = max(1, min(6, (os.cpu_count() or 2) - 2))
-# A scenario that has not ended by then hangs; the longest takes 25 s.
-_LONGEST_S = 60.0
-_FIRST_HOST = 2  # 127.0.0.1 is left to connections that go out
+_SCENARIO_TIMEOUT_S = 60.0
+# Last octets of 127.0.0.x; 127.0.0.1 is the source of connections.
+_FIRST_HOST = 2
 _LAST_HOST = 250
 
 
 @attrs.frozen
 class Scenario:
-    """One scenario, or one row of an outline."""
+    """A scenario, or an example row of a scenario outline.
 
-    place: str
+    :ivar location: ``FILE:LINE``
+    :ivar alone: whether no other scenario may run at the same time
+    """
+
+    location: str
     name: str
     alone: bool
 
 
 @attrs.frozen
 class Result:
-    """How a scenario ended, and what it printed."""
+    """The result and the output of a scenario."""
 
     scenario: Scenario
     passed: bool
@@ -59,64 +62,69 @@
 
 
 def main() -> int:
-    """Run the features that the command line names, or all."""
+    """Run the features named on the command line, or all.
+
+    :return: exit status, 1 if a scenario failed or none passed
+    """
     arguments = sys.argv[1:] or [str(_ROOT / 'features')]
-    scenarios = _scenarios(arguments)
-    together = [one for one in scenarios if not one.alone]
-    alone = [one for one in scenarios if one.alone]
-    results = _run(together, _WORKERS) + _run(alone, 1)
-    known = _known_red()
-    passed = [one.scenario.name for one in results if one.passed]
-    failed = [one.scenario.name for one in results if not one.passed]
-    red = [name for name in failed if name in known]
-    failed = [name for name in failed if name not in known]
+    scenarios = _find_scenarios(arguments)
+    parallel = [scenario for scenario in scenarios if not scenario.alone]
+    alone = [scenario for scenario in scenarios if scenario.alone]
+    results = _run(parallel, _WORKERS) + _run(alone, 1)
+    known_causes = _read_known_failures()
+    passed = [result.scenario.name for result in results if result.passed]
+    failed = [result.scenario.name for result in results if not result.passed]
+    known_failed = [name for name in failed if name in known_causes]
+    failed = [name for name in failed if name not in known_causes]
     failed += [
         f'{name} (in KNOWN-RED)'
         for name in passed
-        if name in known and not known[name].startswith(_SOMETIMES)
+        if name in known_causes
+        and not known_causes[name].startswith(_FLAKY_PREFIX)
     ]
-    for name in red:
-        print(f'known red: {name}: {known[name]}')
+    for name in known_failed:
+        print(f'known red: {name}: {known_causes[name]}')
     for name in failed:
         print(f'failed: {name}')
     print(f'{len(passed)} passed, {len(failed)} failed')
     return 1 if failed or not passed else 0
 
 
-def _scenarios(arguments: list[str]) -> list[Scenario]:
-    """Return the scenarios in folders, files, and lines of files."""
-    found = []
+def _find_scenarios(arguments: list[str]) -> list[Scenario]:
+    """Return the scenarios in folders, files and ``FILE:LINE`` arguments."""
+    scenarios = []
     for argument in arguments:
         path, _, line = argument.partition(':')
-        for file in _files(pathlib.Path(path)):
+        for file in _feature_files(pathlib.Path(path)):
             feature = parser.parse_file(str(file))
-            found += [
+            scenarios += [
                 Scenario(
-                    f'{file}:{one.line}',
-                    one.name,
-                    _ALONE in one.effective_tags,
+                    f'{file}:{scenario.line}',
+                    scenario.name,
+                    _ALONE_TAG in scenario.effective_tags,
                 )
-                for one in feature.walk_scenarios()
-                if not line or one.line == int(line)
+                for scenario in feature.walk_scenarios()
+                if not line or scenario.line == int(line)
             ]
-    return found
+    return scenarios
 
 
-def _files(path: pathlib.Path) -> list[pathlib.Path]:
+def _feature_files(path: pathlib.Path) -> list[pathlib.Path]:
     return sorted(path.rglob('*.feature')) if path.is_dir() else [path]
 
 
 def _run(scenarios: list[Scenario], count: int) -> list[Result]:
-    """Run so many scenarios at once; print each result as it comes."""
+    """Run scenarios, up to ``count`` at a time; print each result."""
     results = []
     with (
-        _own_hosts(count) as hosts,
+        _reserve_hosts(count) as hosts,
         concurrent.futures.ThreadPoolExecutor(count) as workers,
     ):
-        waiting = [
-            workers.submit(_run_one, scenario, hosts) for scenario in scenarios
+        futures = [
+            workers.submit(_run_scenario, scenario, hosts)
+            for scenario in scenarios
         ]
-        for future in concurrent.futures.as_completed(waiting):
+        for future in concurrent.futures.as_completed(futures):
             result = future.result()
             results.append(result)
             verdict = 'passed' if result.passed else 'FAILED'
@@ -127,8 +135,8 @@
 
 
 @contextlib.contextmanager
-def _own_hosts(count: int) -> collections.abc.Iterator[list[str]]:
-    """Give out loopback hosts that no other run uses meanwhile."""
+def _reserve_hosts(count: int) -> collections.abc.Iterator[list[str]]:
+    """Reserve loopback hosts by locks that other test runs respect."""
     hosts: list[str] = []
     with contextlib.ExitStack() as locks:
         for number in range(_FIRST_HOST, _LAST_HOST + 1):
@@ -143,15 +151,14 @@
         yield hosts
 
 
-def _run_one(scenario: Scenario, hosts: list[str]) -> Result:
-    """Run a scenario on a host that no other one uses now."""
+def _run_scenario(scenario: Scenario, hosts: list[str]) -> Result:
+    """Run a scenario in a subprocess on a free host."""
     host = hosts.pop()
-    # In a group of its own, so that a scenario that hangs is ended with all
-    # processes that it started: they would keep their ports. No session of
-    # its own: the kernel shares out processors by sessions, and beside load
-    # a leader then lost its lease in 22 of 54 runs, in none of 54 without.
+    # A process group, so that a timeout kills all processes of the scenario.
+    # Not a session: the kernel schedules by session (autogroups), which
+    # starves the scenario under load.
     process = subprocess.Popen(
-        [sys.executable, '-m', 'features.run', '--one', scenario.place],
+        [sys.executable, '-m', 'features.run', '--one', scenario.location],
         cwd=_ROOT,
         env={**os.environ, 'HONEYPORT_TEST_HOST': host},
         stdout=subprocess.PIPE,
@@ -161,26 +168,26 @@
         process_group=0,
     )
     try:
-        output, _ = process.communicate(timeout=_LONGEST_S)
+        output, _ = process.communicate(timeout=_SCENARIO_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         os.killpg(process.pid, signal.SIGKILL)
         output, _ = process.communicate()
-        return Result(scenario, False, f'{output}\nit did not end')
+        return Result(scenario, False, f'{output}\nthe scenario timed out')
     finally:
         hosts.append(host)
     return Result(scenario, process.returncode == 0, output)
 
 
-def _behave(place: str) -> int:
-    """Run one scenario in this process; return whether it failed."""
-    # Imported here: the process that starts the others needs none of it.
+def _run_in_process(location: str) -> int:
+    """Run one scenario in this process; return its exit status."""
+    # Needed in the subprocesses only.
     from behave import runner
 
     from honeyport import local
 
     local.HOST = os.environ['HONEYPORT_TEST_HOST']
     config = configuration.Configuration(
-        ['--no-capture', '--format=plain', '--no-summary', place]
+        ['--no-capture', '--format=plain', '--no-summary', location]
     )
     run = runner.Runner(config)
     run.run()
@@ -190,26 +197,28 @@
         for scenario in feature.walk_scenarios()
         if scenario.status.name != 'skipped'
     ]
-    good = len(ran) == 1 and ran[0].status.name == 'passed'
-    return 0 if good else 1
+    passed = len(ran) == 1 and ran[0].status.name == 'passed'
+    return 0 if passed else 1
 
 
-def _known_red() -> dict[str, str]:
-    """Return the scenarios that are known to fail, with their causes."""
-    if not _KNOWN_RED.exists():
+def _read_known_failures() -> dict[str, str]:
+    """Return the causes of known failures by scenario name."""
+    if not _KNOWN_FAILURES_FILE.exists():
         return {}
-    known = {}
-    for line in _KNOWN_RED.read_text(encoding='utf-8').splitlines():
+    causes = {}
+    for line in _KNOWN_FAILURES_FILE.read_text(encoding='utf-8').splitlines():
         if line.strip() and not line.startswith('#'):
             name, _, cause = line.partition(' | ')
-            known[name.strip()] = cause.strip()
-    most = _MOST_RED if 'CI' in os.environ else _MOST_RED_AT_WORK
-    if len(known) > most:
-        raise SystemExit(f'KNOWN-RED.txt names more than {most} tests')
-    return known
+            causes[name.strip()] = cause.strip()
+    limit = (
+        _MAX_KNOWN_FAILURES_CI if 'CI' in os.environ else _MAX_KNOWN_FAILURES
+    )
+    if len(causes) > limit:
+        raise SystemExit(f'KNOWN-RED.txt names more than {limit} tests')
+    return causes
 
 
 if __name__ == '__main__':
     if sys.argv[1:2] == ['--one']:
-        sys.exit(_behave(sys.argv[2]))
+        sys.exit(_run_in_process(sys.argv[2]))
     sys.exit(main())
--- a/launch.py
+++ b/launch.py
@@ -1,11 +1,10 @@
-"""Runs honeyport from the source tree, as the platform starts it."""
+"""Run honeyport from the source tree; the platform starts this file."""
 
 import gc
 import pathlib
 import sys
 
-# Until all is imported (process.py): a start is shorter without collections,
-# which find next to nothing in it.
+# Shortens the imports, which free few objects; process.py enables it again.
 gc.disable()
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent / 'src'))
