--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -62,7 +62,7 @@
         _REQUESTS_PER_S / _NODES,
         _TOKENS_PER_S / _NODES,
     )
-    engines = _ENGINES / _NODES
+    engines_per_router = _ENGINES / _NODES
     data_path_ms_s = (
         requests_per_s * hops['one_hop_request_ms']
         + tokens_per_s * hops['one_hop_chunk_ms']
@@ -77,7 +77,7 @@
         - _MEASURED_ENGINES * increment['ms_s_per_engine']
     )
     reports_ms_s *= _MEASURED_REPORT_MS / _REPORT_MS
-    probes_ms_s = engines * increment['ms_s_per_engine']
+    probes_ms_s = engines_per_router * increment['ms_s_per_engine']
     changes_ms_s = _CHANGES_PER_S * pieces['apply_change_ms']
     views_ms_s = _VIEWS_PER_S * pieces['regard_view_ms']
     control_ms_s = reports_ms_s + probes_ms_s + changes_ms_s + views_ms_s
@@ -90,7 +90,11 @@
     return [
         ('requests', f'{requests_per_s:.1f} /s', '3,200 over 370 nodes'),
         ('tokens', f'{tokens_per_s:,.0f} /s', '910,000 over 370 nodes'),
-        ('engines stewarded', f'{engines:.1f}', '4,600 over 370 nodes'),
+        (
+            'engines stewarded',
+            f'{engines_per_router:.1f}',
+            '4,600 over 370 nodes',
+        ),
         (
             'data path, one hop',
             _format_core_share(data_path_ms_s),
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -85,13 +85,13 @@
 
 
 class _Gateway:
-    """A gateway's choice, its wishes and its allowance."""
+    """Balancer, backoff signals and retry budgets of a gateway."""
 
     def __init__(self, name: str, domain: str, gateways: int) -> None:
-        self.wishes = instance_signals.InstanceSignals(
+        self.signals = instance_signals.InstanceSignals(
             headers.HeaderNames(), metrics.Metrics()
         )
-        self.balancer = balancer.Balancer(name, domain, {}, self.wishes)
+        self.balancer = balancer.Balancer(name, domain, {}, self.signals)
         self.budgets = repeats.RetryBudgets(
             repeats.Allowance(), lambda: gateways
         )
@@ -148,17 +148,17 @@
             ):
                 break
             try:
-                chosen = gateway.balancer.choose(
+                instance = gateway.balancer.choose(
                     choices.SERVICE, parts, tried
                 ).instance
             except errors.NoInstance:
                 break
-            if chosen.id not in self._overloaded or _now() > _OVERLOAD_S:
-                task = asyncio.create_task(self._serve(gateway, chosen))
+            if instance.id not in self._overloaded or _now() > _OVERLOAD_S:
+                task = asyncio.create_task(self._serve(gateway, instance))
                 self._tasks.add(task)
                 return
-            tried.add(chosen.id)
-            self._reject(number, chosen)
+            tried.add(instance.id)
+            self._reject(number, instance)
         self.counts.refused += 1
 
     def _parts(self) -> tuple[prefixes.Part, ...]:
@@ -166,28 +166,28 @@
         suffix = f'o-{self._random.randrange(10**6)}'
         return prefixes.Part(prefix, 6000), prefixes.Part(suffix, 500)
 
-    async def _serve(self, gateway: _Gateway, chosen) -> None:
-        with gateway.balancer.track(chosen):
+    async def _serve(self, gateway: _Gateway, instance) -> None:
+        with gateway.balancer.track(instance):
             await asyncio.sleep(_SERVICE_TIME_S)
-        gateway.balancer.record_success(chosen, ())
+        gateway.balancer.record_success(instance, ())
 
-    def _reject(self, number: int, chosen) -> None:
+    def _reject(self, number: int, instance) -> None:
         self.counts.rejections += 1
         now = _now()
         backoff_start = self._backoff_starts.setdefault(
-            (number, chosen.id), now
+            (number, instance.id), now
         )
         if 0.5 < now - backoff_start < _RETRY_AFTER_S:
             self.counts.in_backoff += 1
         if now - backoff_start >= _RETRY_AFTER_S:
-            self._backoff_starts[number, chosen.id] = now
+            self._backoff_starts[number, instance.id] = now
         head = attempt.Head(
             503, '', httputil.HTTPHeaders({'Retry-After': str(_RETRY_AFTER_S)})
         )
-        self._gateways[number].wishes.observe(chosen, head, now)
+        self._gateways[number].signals.observe(instance, head, now)
         if self._variant.shared:
             loop = asyncio.get_running_loop()
-            loop.call_later(_PROPAGATION_S, self._exclude, chosen.id)
+            loop.call_later(_PROPAGATION_S, self._exclude, instance.id)
 
     def _exclude(self, name: str) -> None:
         """Make an instance unreachable on all gateways for its backoff."""
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Tally:
+class GroupStats:
     """Results of a group of accounts.
 
     :ivar first_token_s: times to the first token
@@ -75,21 +75,25 @@
     }
 
 
-async def _run_phase(world: worlds.World, factor: int) -> dict[str, Tally]:
+async def _run_phase(
+    world: worlds.World, factor: int
+) -> dict[str, GroupStats]:
     """Send turns of all accounts; the surging ones at a multiplied rate."""
-    tallies = {'others': Tally(), 'large': Tally()}
+    stats_by_group = {'others': GroupStats(), 'large': GroupStats()}
     async with asyncio.TaskGroup() as group:
         for name in _REGULAR_ACCOUNTS:
-            group.create_task(_send_account(world, name, 1, tallies['others']))
+            group.create_task(
+                _send_account(world, name, 1, stats_by_group['others'])
+            )
         for name in _SURGING_ACCOUNTS:
             group.create_task(
-                _send_account(world, name, factor, tallies['large'])
+                _send_account(world, name, factor, stats_by_group['large'])
             )
-    return tallies
+    return stats_by_group
 
 
 async def _send_account(
-    world: worlds.World, name: str, factor: int, tally: Tally
+    world: worlds.World, name: str, factor: int, stats: GroupStats
 ) -> None:
     """Send the turns of an account at seeded Poisson arrival times."""
     generator = random.Random(f'{name}-{factor}')
@@ -103,7 +107,7 @@
             is_counted = time.monotonic() > started + _WARMUP_S
             group.create_task(
                 _send_turn(
-                    world, router, f'{name}-{number}', name, tally, is_counted
+                    world, router, f'{name}-{number}', name, stats, is_counted
                 )
             )
 
@@ -113,7 +117,7 @@
     router: str,
     chat: str,
     account: str,
-    tally: Tally,
+    stats: GroupStats,
     is_counted: bool,
 ) -> None:
     request = calls.chat_request(
@@ -125,10 +129,10 @@
     reply = await calls.send(world.address(router), request)
     if not is_counted:
         return
-    tally.sent += 1
+    stats.sent += 1
     if reply.status == 200 and reply.is_complete:
-        tally.first_token_s.append(reply.first_byte_s)
+        stats.first_token_s.append(reply.first_byte_s)
     elif reply.status == 429:
-        tally.refused += 1
+        stats.refused += 1
     else:
-        tally.failed += 1
+        stats.failed += 1
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -101,14 +101,14 @@
     """
     rng = random.Random(seed)
     count = rng.randint(*_FAULT_COUNT)
-    chosen = names or [
+    planned_names = names or [
         rng.choice(faults.faults_for_seed(seed)) for _ in range(count)
     ]
     return [
         _PlannedFault(
             rng.uniform(0, _FAULT_WINDOW_S), name, rng.getrandbits(32)
         )
-        for name in chosen
+        for name in planned_names
     ]
 
 
@@ -152,12 +152,12 @@
     :param count: number of seeds from ``first``
     :param jobs: number of seeds that run at a time
     """
-    chosen = [seeds] if isinstance(seeds, int) else list(seeds)
-    chosen += range(first, first + count)
+    all_seeds = [seeds] if isinstance(seeds, int) else list(seeds)
+    all_seeds += range(first, first + count)
     with concurrent.futures.ThreadPoolExecutor(jobs) as workers:
         futures = [
             workers.submit(_play_in_subprocess, seed, _FIRST_HOST + number)
-            for number, seed in enumerate(chosen)
+            for number, seed in enumerate(all_seeds)
         ]
         passed = [future.result() for future in futures]
     print(f'{sum(passed)} passed, {len(passed) - sum(passed)} failed')
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -115,7 +115,8 @@
             continue
         for key in newest.keys - accepted.keys if newest else ():
             revoked_at.setdefault(
-                key, accepted.at + _KEY_REVOCATION_LIMIT_S + _CLOCK_TOLERANCE_S
+                key,
+                accepted.time + _KEY_REVOCATION_LIMIT_S + _CLOCK_TOLERANCE_S,
             )
         newest = accepted
     for result in records.results:
@@ -131,14 +132,14 @@
 def configuration_never_reverts(
     records: soak_records.Records,
 ) -> collections.abc.Iterator[str]:
-    for time, node, text in records.configuration_reads:
+    for read_time, node, text in records.configuration_reads:
         version = json.loads(text)['version']
         newest = max(
             (
                 accepted.version
                 for accepted in records.accepted
-                if accepted.at
-                < time - _PROPAGATION_LIMIT_S - _CLOCK_TOLERANCE_S
+                if accepted.time
+                < read_time - _PROPAGATION_LIMIT_S - _CLOCK_TOLERANCE_S
             ),
             default=0,
         )
@@ -172,9 +173,9 @@
         for execution in executions:
             removed_at = removal_times.get(execution.instance, float('inf'))
             undisturbed = not records.is_disturbed(
-                removed_at - _KNOWLEDGE_DELAY_S, execution.at
+                removed_at - _KNOWLEDGE_DELAY_S, execution.time
             )
-            if execution.at > removed_at and undisturbed:
+            if execution.time > removed_at and undisturbed:
                 yield (
                     f'{execution.request_id} was executed on '
                     f'{execution.instance}, which was removed'
@@ -194,15 +195,17 @@
     for arrival in records.arrivals:
         node = nodes.get(arrival.request_id)
         for window in windows.get((arrival.instance, node), ()):
-            after_s = arrival.at - window.at
-            undisturbed = not records.is_disturbed(window.at, arrival.at, node)
+            elapsed_s = arrival.time - window.time
+            undisturbed = not records.is_disturbed(
+                window.time, arrival.time, node
+            )
             if (
-                window.start_s + _CLOCK_TOLERANCE_S < after_s < window.end_s
+                window.start_s + _CLOCK_TOLERANCE_S < elapsed_s < window.end_s
                 and undisturbed
             ):
                 yield (
                     f'{arrival.request_id} reached {arrival.instance} from '
-                    f'{node} {after_s:.1f} s after it asked for no requests'
+                    f'{node} {elapsed_s:.1f} s after it asked for no requests'
                 )
                 break
 
@@ -218,13 +221,13 @@
         + _KNOWLEDGE_DELAY_S
     )
     late_executions = [
-        execution.at
+        execution.time
         for request_id, executions in records.executions.items()
         for execution in executions
         if request_id.startswith('ending')
-        and execution.at > blocked_at
+        and execution.time > blocked_at
         and not records.is_disturbed(
-            execution.at - _KNOWLEDGE_DELAY_S, execution.at
+            execution.time - _KNOWLEDGE_DELAY_S, execution.time
         )
     ]
     if len(late_executions) > _MAX_EXECUTIONS_AFTER_BLOCK:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -371,9 +371,9 @@
 ) -> None:
     """Repeat a request that crashes every instance that executes it."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + rng.uniform(*_FATAL_REQUESTS_DURATION_S)
+    deadline = loop.time() + rng.uniform(*_FATAL_REQUESTS_DURATION_S)
     async with asyncio.TaskGroup() as group:
-        while loop.time() < until:
+        while loop.time() < deadline:
             node = rng.choice(site.nodes)
             group.create_task(site.send_fatal_request(node))
             await _sleep_random(rng, *_FATAL_REQUEST_INTERVAL_S)
@@ -399,13 +399,13 @@
 ) -> None:
     """Make some instances reject all requests with ``Retry-After``."""
     count = rng.randint(1, len(site.instances))
-    chosen = rng.sample(site.instances, count)
+    overloaded = rng.sample(site.instances, count)
     retry_after_s = rng.choice(_RETRY_AFTER_CHOICES_S)
-    with _disturbing(site, *(instance.name for instance in chosen)):
-        for instance in chosen:
+    with _disturbing(site, *(instance.name for instance in overloaded)):
+        for instance in overloaded:
             instance.retry_after_s = retry_after_s
         await _sleep_random(rng, 1.0, 5.0)
-        for instance in chosen:
+        for instance in overloaded:
             instance.retry_after_s = 0.0
 
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -12,7 +12,7 @@
 
     request_id: str
     instance: str
-    at: float
+    time: float
 
 
 @attrs.frozen
@@ -26,7 +26,7 @@
 
     request_id: str
     instance: str
-    at: float
+    time: float
     start_s: float
     end_s: float
 
@@ -59,7 +59,7 @@
 
     version: int
     keys: frozenset[str]
-    at: float
+    time: float
 
 
 @attrs.define
