--- a/bench/control.py
+++ b/bench/control.py
@@ -49,7 +49,7 @@
     async with temporary_world() as world:
         world.timing.update(_DEFAULT_TIMING)
         await fleet_steps.start_fleet(world, 3, 12, 4, 1)
-        await control_steps.many(world, 100)
+        await control_steps.submit_many(world, 100)
         await asyncio.sleep(1)
         figures = _propagation_delays(world)
         figures.update(await _failovers(world))
@@ -61,12 +61,12 @@
     """Return quantiles of the time until all routers apply a change."""
     accepted = {}
     for name in world.control:
-        for line in world.log(name):
+        for line in world.log_lines(name):
             if line['number'] == 2101:
                 accepted[line['version']] = _parse_timestamp(line)
     applied: dict[int, float] = {}
     for name in world.routers:
-        for line in world.log(name):
+        for line in world.log_lines(name):
             if line['number'] == 3001:
                 version = line['version']
                 applied[version] = max(
@@ -115,7 +115,7 @@
 async def _submit_next(world: worlds.World, names: list[str]) -> None:
     """Submit the next change to each replica until the leader accepts it."""
     world.limits['queue'] = 100 + world.version
-    text = control_steps.sign_quickly(world).to_json()
+    text = control_steps.sign_next_bundle(world).to_json()
     request = pb.SubmitRequest(signed=text)
 
     async def attempt() -> bool:
@@ -138,7 +138,7 @@
 
 async def _measure_restart(world: worlds.World) -> float:
     """Measure the restart of all replicas after 1,000 changes, in s."""
-    await control_steps.many(world, 1000 - world.version)
+    await control_steps.submit_many(world, 1000 - world.version)
     for name in world.control:
         await world.kill(name)
     started = time.monotonic()
@@ -158,7 +158,7 @@
     async with temporary_world() as world:
         _set_target_size(world)
         world.start_control(3, http_listen='127.0.0.2:0')
-        await world.roll(wait=False)
+        await world.roll_out(wait=False)
         costs = {}
         for count in (40, 370):
             costs[count] = await _measure_subscribers(world, count)
@@ -228,7 +228,7 @@
     changes = 4
     for number in range(changes):
         world.accounts[f'account-{number}'] = {'share': 2.0 + world.version}
-        signed = await asyncio.to_thread(control_steps.sign_quickly, world)
+        signed = await asyncio.to_thread(control_steps.sign_next_bundle, world)
         accepted = await _submit(world, signed)
         await asyncio.sleep(6)
         version = signed.version
@@ -286,7 +286,7 @@
     """Measure claims per second with synchronous disk writes."""
     async with temporary_world() as world:
         world.start_control(3)
-        await world.roll(wait=False)
+        await world.roll_out(wait=False)
         stubs = subscribers.Subscribers(world, 1)
         await stubs.start(world)
         leader = await control_steps.leader(world)
--- a/bench/hops.py
+++ b/bench/hops.py
@@ -65,7 +65,7 @@
     for name in world.routers:
         stewardships = [
             line
-            for line in world.log(name)
+            for line in world.log_lines(name)
             if line['number'] == 3101 and line['backend'] == engine
         ]
         if stewardships:
--- a/bench/reuse.py
+++ b/bench/reuse.py
@@ -89,13 +89,15 @@
 
 async def _run(world: worlds.World, name: str, send: Send) -> registry.Figures:
     """Run all chats with one policy; return its figures."""
-    world.executions.write_text('')
+    world.executions_path.write_text('')
     for number in range(1, _ENGINES + 1):
         engine = f'draft-llm-{number}'
         await world.kill(engine)
         world.start(engine, 'standin', 'engine')
     await world.wait_until(
-        lambda: fleet_steps.settled(world), 'all engines are up again', 60
+        lambda: fleet_steps.all_backends_serve(world),
+        'all engines are up again',
+        60,
     )
     counts: collections.Counter[str] = collections.Counter()
     restarts: dict[str, list[float]] = collections.defaultdict(list)
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -39,9 +39,9 @@
             'name': name,
             'domain': worlds.DOMAINS[number - 1],
             'listen': address,
-            'executions': str(world.executions),
+            'executions': str(world.executions_path),
         }
-        await world.relay(name, address)
+        await world.start_relay(name, address)
     await fleet_steps.start_fleet(world, control, routers, engines, 0)
 
 
@@ -88,7 +88,7 @@
     engine, context.steward = next(
         (line['backend'], name)
         for name in world.routers
-        for line in world.log(name)
+        for line in world.log_lines(name)
         if line['number'] == 3101 and name != entry
     )
     context.running = [
@@ -275,7 +275,7 @@
             await world.kill(name)
             await asyncio.sleep(1.0)
             world.start_router(name)
-            await fleet_steps.ready(world)
+            await fleet_steps.wait_until_healthy(world)
     caller.close()
 
 
--- a/features/steps/control_failure_steps.py
+++ b/features/steps/control_failure_steps.py
@@ -27,7 +27,7 @@
         reach = {}
         for other in names:
             if other != name:
-                way = await world.relay(
+                way = await world.start_relay(
                     f'{name}>{other}', world.control[other]
                 )
                 reach[other] = way.address
@@ -36,8 +36,8 @@
     world.start_service('field-app-1')
     for number in (1, 2):
         world.start_router(f'router-{number}')
-    await world.roll()
-    await fleet_steps.ready(world)
+    await world.roll_out()
+    await fleet_steps.wait_until_healthy(world)
 
 
 @behave.when('the leader is cut off from the other replicas')
@@ -149,7 +149,7 @@
     world = context.world
 
     def check():
-        numbers = [line['number'] for line in world.log(context.lost)]
+        numbers = [line['number'] for line in world.log_lines(context.lost)]
         return numbers.count(2005) == 1
 
     context.run(world.wait_until(check, 'it notes that it is not admitted'))
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -47,7 +47,7 @@
     for name in context.world.routers:
         applied = [
             line['version']
-            for line in context.world.log(name)
+            for line in context.world.log_lines(name)
             if line['number'] == 3001
         ]
         assert applied == sorted(set(applied)), (name, applied)
@@ -78,7 +78,7 @@
 @behave.when('the leader freezes')
 def step_freeze_leader(context):
     context.leader = context.run(control.leader(context.world))
-    context.world.signal(context.leader, signal.SIGSTOP)
+    context.world.send_signal(context.leader, signal.SIGSTOP)
 
 
 @behave.when('a change is made')
@@ -88,7 +88,7 @@
 
 @behave.when('the frozen leader wakes')
 def step_wake(context):
-    context.world.signal(context.leader, signal.SIGCONT)
+    context.world.send_signal(context.leader, signal.SIGCONT)
 
 
 @behave.then('the frozen leader leads no more')
@@ -151,17 +151,17 @@
 
 @behave.when('{count:d} changes are made')
 def step_many(context, count):
-    context.run(many(context.world, count))
+    context.run(submit_many(context.world, count))
 
 
-async def many(world, count):
+async def submit_many(world, count):
     """Submit many small changes to the leader, one after another."""
     address = world.control[await control.leader(world)]
     channel = channels.connect(address)
     stub = rpc.OperatorStub(channel)
     for _ in range(count):
         world.limits['queue'] = 100 + world.version
-        signed = sign_quickly(world)
+        signed = sign_next_bundle(world)
         answer = await stub.Submit(
             pb.SubmitRequest(signed=signed.to_json()), timeout=5
         )
@@ -170,7 +170,7 @@
     await channel.close()
 
 
-def sign_quickly(world):
+def sign_next_bundle(world):
     """Return the next bundle, signed, without the command line."""
     path = world.folder / 'many.yaml'
     path.write_text(yaml.safe_dump(world.bundle()))
@@ -197,7 +197,7 @@
     world.sign(world.bundle(), 'bundle-next')
     out = world.folder / 'strange.json'
     context.run(
-        world.command(
+        world.run_command(
             'bundle',
             'sign',
             str(bundle),
--- a/features/steps/domain_verb_steps.py
+++ b/features/steps/domain_verb_steps.py
@@ -45,7 +45,7 @@
 def step_shown(context, domain):
     world = context.world
     addresses = ','.join(world.control.values())
-    shown = context.run(world.command('fleet', 'status', addresses))
+    shown = context.run(world.run_command('fleet', 'status', addresses))
     assert f'evacuated {domain}' in shown, shown
 
 
@@ -71,7 +71,7 @@
 
 async def _order(world, verb, domain):
     addresses = ','.join(world.control.values())
-    await world.command('fleet', verb, addresses, domain)
+    await world.run_command('fleet', verb, addresses, domain)
 
 
 async def _domains_of_new_chats(world):
--- a/features/steps/engine_steps.py
+++ b/features/steps/engine_steps.py
@@ -180,10 +180,10 @@
         world.start_engine(f'draft-llm-{number}')
     for number in (1, 2):
         world.start_router(f'router-{number}')
-    await world.roll()
-    await fleet_steps.ready(world)
+    await world.roll_out()
+    await fleet_steps.wait_until_healthy(world)
     await world.wait_until(
-        lambda: fleet_steps.settled(world), 'all is settled'
+        lambda: fleet_steps.all_backends_serve(world), 'all is settled'
     )
 
 
@@ -201,7 +201,7 @@
 @behave.when('a bundle without "{name}" is rolled')
 def step_without(context, name):
     del context.world.backends[name]
-    context.run(context.world.roll())
+    context.run(context.world.roll_out())
 
 
 @behave.then('"{name}" gets no new work {seconds:d} seconds later')
@@ -340,7 +340,7 @@
         return any(
             line['number'] == 3105 and line['backend'] == context.warm
             for name in world.routers
-            for line in world.log(name)
+            for line in world.log_lines(name)
         )
 
     context.run(world.wait_until(moved, 'the prefixes are moved', 5))
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -38,25 +38,25 @@
 
 @behave.when('"{name}" gets SIGTERM')
 def step_term(context, name):
-    context.world.signal(name, signal.SIGTERM)
+    context.world.send_signal(name, signal.SIGTERM)
 
 
 @behave.given('"{name}" freezes')
 @behave.when('"{name}" freezes')
 def step_freeze(context, name):
-    context.world.signal(name, signal.SIGSTOP)
+    context.world.send_signal(name, signal.SIGSTOP)
 
 
 @behave.when('"{name}" wakes after {pause:d} ms')
 def step_wake(context, name, pause):
     context.run(asyncio.sleep(pause / 1000))
-    context.world.signal(name, signal.SIGCONT)
+    context.world.send_signal(name, signal.SIGCONT)
 
 
 @behave.when('all routers get SIGTERM')
 def step_term_all(context):
     for name in context.world.routers:
-        context.world.signal(name, signal.SIGTERM)
+        context.world.send_signal(name, signal.SIGTERM)
 
 
 @behave.then('"{name}" ends with code {code:d}')
--- a/features/steps/filing_steps.py
+++ b/features/steps/filing_steps.py
@@ -53,10 +53,10 @@
         world.backends[f'field-app-{number}']['slots'] = slots
     for number in range(1, routers + 1):
         world.start_router(f'router-{number}')
-    await world.roll()
-    await fleet_steps.ready(world)
+    await world.roll_out()
+    await fleet_steps.wait_until_healthy(world)
     await world.wait_until(
-        lambda: fleet_steps.settled(world), 'all is settled'
+        lambda: fleet_steps.all_backends_serve(world), 'all is settled'
     )
 
 
@@ -187,7 +187,7 @@
 @behave.when('a filing waits with its claim at "{router}", which freezes')
 def step_freeze_waiting(context, router):
     context.run(wait_with_claim(context, router))
-    context.world.signal(router, signal.SIGSTOP)
+    context.world.send_signal(router, signal.SIGSTOP)
 
 
 async def wait_with_claim(context, router):
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -5,17 +5,17 @@
 from features.support import calls
 
 
-async def ready(world):
+async def wait_until_healthy(world):
     """Wait until every router serves."""
     for name in world.routers:
         if world.processes[name].poll() is not None:
             continue
         await world.wait_until(
-            lambda name=name: healthy(world, name), f'{name} serves'
+            lambda name=name: is_healthy(world, name), f'{name} serves'
         )
 
 
-async def healthy(world, name):
+async def is_healthy(world, name):
     """Whether a router may take work."""
     reply = await calls.send(
         world.address(name), calls.get_request('/healthz')
@@ -32,14 +32,14 @@
         world.start_service(f'field-app-{number}')
     for number in range(1, routers + 1):
         world.start_router(f'router-{number}')
-    await world.roll()
-    await ready(world)
+    await world.roll_out()
+    await wait_until_healthy(world)
     await world.wait_until(
-        lambda: settled(world), 'every engine has a steward'
+        lambda: all_backends_serve(world), 'every engine has a steward'
     )
 
 
-async def settled(world):
+async def all_backends_serve(world):
     """Whether every backend server has a steward that admits work."""
     for name in world.backends:
         service = world.backends[name]['service']
@@ -65,7 +65,7 @@
         reply = await calls.send(world.address(world.routers[0]), request)
         if reply.status != 200:
             return False
-    world.executions.write_text('')
+    world.executions_path.write_text('')
     return True
 
 
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -42,8 +42,8 @@
     world.start_control(control)
     for number in range(1, routers + 1):
         world.start_router(f'router-{number}')
-    await world.roll()
-    await fleet_steps.ready(world)
+    await world.roll_out()
+    await fleet_steps.wait_until_healthy(world)
     await await_all(world, lambda s: s['models'] == {'draft': '1'})
     (world.folder / 'weights.jsonl').write_text('')
 
@@ -81,7 +81,7 @@
 async def roll_version(context, version):
     world = context.world
     world.model['version'] = version
-    rolling = asyncio.ensure_future(world.roll())
+    rolling = asyncio.ensure_future(world.roll_out())
     context.turns = []
     for number in range(30):
         address = world.address(world.routers[number % len(world.routers)])
@@ -102,7 +102,7 @@
     world = context.world
     world.model['version'] = version
     name = await control.leader(world)
-    await world.roll()
+    await world.roll_out()
     await world.wait_until(lambda: loads(world), 'the first load begins')
     await world.kill(name)
 
@@ -121,7 +121,7 @@
     world.model['adapters'] = adapters.split(', ')
     for backend in world.backends.values():
         backend['role'] = role
-    context.run(world.roll())
+    context.run(world.roll_out())
 
 
 @behave.then('every engine has adapters "{adapters}" and role "{role}"')
@@ -203,7 +203,7 @@
 def step_orders_nothing(context):
     world = context.world
     before = len(ordered(world, context.leader))
-    world.signal(context.leader, signal.SIGCONT)
+    world.send_signal(context.leader, signal.SIGCONT)
     control_steps.step_leads_no_more(context)
     context.run(asyncio.sleep(0.5))
     assert len(ordered(world, context.leader)) == before
@@ -212,4 +212,4 @@
 
 def ordered(world, name):
     """Return the orders that a replica logged."""
-    return [line for line in world.log(name) if line['number'] == 2301]
+    return [line for line in world.log_lines(name) if line['number'] == 2301]
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -58,7 +58,7 @@
 async def submit_change(world):
     """Make the next change and wait until it is in force."""
     world.limits['queue'] = 100 + world.version
-    await world.roll()
+    await world.roll_out()
 
 
 async def versions_in_force(world):
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -47,12 +47,12 @@
         self.timing: dict[str, typing.Any] = dict(TIMING)
         self.version = 0
         self.model: dict[str, typing.Any] = {'version': '1'}
-        self.public = signing.write_new_key(str(folder / 'keys'), 'ops')
+        self.public_key = signing.write_new_key(str(folder / 'keys'), 'ops')
         self.control: dict[str, str] = {}
         self.tasks: list[asyncio.Task[typing.Any]] = []
 
     @property
-    def executions(self) -> pathlib.Path:
+    def executions_path(self) -> pathlib.Path:
         """The log of what the stand-ins ran."""
         return self.folder / 'executions.jsonl'
 
@@ -69,13 +69,13 @@
         self, event: str = 'start'
     ) -> list[dict[str, typing.Any]]:
         """Return the executions that the stand-ins logged."""
-        if not self.executions.exists():
+        if not self.executions_path.exists():
             return []
-        lines = self.executions.read_text().splitlines()
+        lines = self.executions_path.read_text().splitlines()
         found = [json.loads(line) for line in lines if line.endswith('}')]
         return [line for line in found if line['event'] == event]
 
-    def log(self, name: str) -> list[dict[str, typing.Any]]:
+    def log_lines(self, name: str) -> list[dict[str, typing.Any]]:
         """Return the log lines of a process."""
         path = self.folder / f'{name}.log'
         lines = path.read_text().splitlines() if path.exists() else []
@@ -113,7 +113,7 @@
             'http_listen': local.free_address(),
             'data': str(self.folder / f'data-{name}'),
             'members': dict(self.control),
-            'signers': {'ops': self.public},
+            'signers': {'ops': self.public_key},
             'election_ms': 250,
             'heartbeat_ms': 50,
             **options,
@@ -160,7 +160,7 @@
                 'name': name,
                 'domain': domain,
                 'listen': local.free_address(),
-                'executions': str(self.executions),
+                'executions': str(self.executions_path),
                 **options,
             },
         )
@@ -180,7 +180,7 @@
         """Return the next bundle as a mapping."""
         return {
             'version': version or self.version + 1,
-            'signers': {'threshold': 1, 'keys': {'ops': self.public}},
+            'signers': {'threshold': 1, 'keys': {'ops': self.public_key}},
             'models': {'draft': self.model},
             'services': {
                 'draft-llm': {'kind': 'engine', 'model': 'draft'},
@@ -203,7 +203,7 @@
         out.write_text(signed.to_json())
         return str(out)
 
-    async def roll(self, *, wait: bool = True) -> None:
+    async def roll_out(self, *, wait: bool = True) -> None:
         """Submit the next version."""
         path = self.sign(self.bundle(), f'bundle-{self.version + 1}')
         await self.submit(path, wait=wait)
@@ -212,11 +212,11 @@
     async def submit(self, path: str, *, wait: bool = True) -> str:
         """Submit a signed bundle through the command line."""
         extra = ['--wait'] if wait else []
-        return await self.command(
+        return await self.run_command(
             'bundle', 'submit', path, ','.join(self.control.values()), *extra
         )
 
-    async def command(self, *arguments: str) -> str:
+    async def run_command(self, *arguments: str) -> str:
         """Run an operator's verb; return what it printed."""
         child = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -233,7 +233,7 @@
 
     # -- failures ---------------------------------------------------------
 
-    def signal(self, name: str, number: signal.Signals) -> None:
+    def send_signal(self, name: str, number: signal.Signals) -> None:
         """Send a signal to a process."""
         self.processes[name].send_signal(number)
 
@@ -250,7 +250,7 @@
                 await asyncio.sleep(0.02)
         return process.returncode
 
-    async def relay(self, name: str, target: str) -> relay.Relay:
+    async def start_relay(self, name: str, target: str) -> relay.Relay:
         """Put a relay, which can be cut, before an address."""
         made = relay.Relay(target)
         await made.start()
