--- a/features/steps/control_failure_steps.py
+++ b/features/steps/control_failure_steps.py
@@ -31,7 +31,9 @@
                     f'{name}>{other}', world.control[other]
                 )
                 reach[other] = way.address
-        world.settings[name] = world._control(name, number, reach=reach)
+        world.settings[name] = world._control_settings(
+            name, number, reach=reach
+        )
         world.start(name, 'control')
     world.start_service('field-app-1')
     for number in (1, 2):
@@ -79,7 +81,7 @@
 @behave.when('a change is made on the other side')
 def step_change_other_side(context):
     world = context.world
-    context.run(control.leader(world, but=(context.leader,)))
+    context.run(control.leader(world, excluded=(context.leader,)))
     context.run(control.submit_change(world))
 
 
--- a/features/support/callers.py
+++ b/features/support/callers.py
@@ -1,8 +1,8 @@
-"""A model of callers that keep address lists; no sockets, no waiting.
+"""A discrete-time simulation of callers that cache address lists.
 
-Time goes in steps. A caller whose list has run out asks up to three gateways
-in its own order and waits a second for each dead one; a request goes to one
-address of its list that has not failed it, and a dead one costs a second.
+A caller whose list has expired asks up to three gateways in its own order
+and waits a second for each dead one. A request goes to a random address of
+the list that has not failed before; a dead address costs a second.
 """
 
 import collections.abc
@@ -11,45 +11,49 @@
 import attrs
 
 _STEP_S = 0.05
-_DEAD_S = 1.0  # what a caller waits for an address that says nothing
-_ASKED = 3  # gateways that one look-up may ask
-_SEEN_S = 0.75  # until the others know that a gateway is dead
+_TIMEOUT_S = 1.0  # until a caller gives up on a dead gateway
+_LOOKUP_ATTEMPTS_MAX = 3  # gateways asked in one look-up
+_DETECTION_S = 0.75  # until other gateways have detected a dead one
 
 Lifetime = collections.abc.Callable[[float], float]
 
 
 @attrs.define
 class Gateway:
-    """When a gateway is dead and when it leaves: pairs of times."""
+    """Schedule of a gateway's failure and shutdown.
+
+    :ivar dead: start and end of the failure, in seconds
+    :ivar leaving: start and end of the shutdown, in seconds
+    """
 
     dead: tuple[float, float] = (0.0, 0.0)
     leaving: tuple[float, float] = (0.0, 0.0)
 
     def is_dead(self, now: float) -> bool:
-        """Whether it says nothing."""
+        """Return whether the gateway does not respond."""
         return self.dead[0] <= now < self.dead[1]
 
     def is_listed(self, now: float) -> bool:
-        """Whether others name it to callers."""
-        silent = self.dead[0] + _SEEN_S <= now < self.dead[1]
-        return not silent and not self.is_leaving(now)
+        """Return whether the other gateways list its address."""
+        is_detected = self.dead[0] + _DETECTION_S <= now < self.dead[1]
+        return not is_detected and not self.is_leaving(now)
 
     def is_leaving(self, now: float) -> bool:
-        """Whether it leaves or is not back yet."""
+        """Return whether it is shutting down or not restarted yet."""
         return self.leaving[0] <= now < self.leaving[1]
 
     def refuses(self, now: float) -> bool:
-        """Whether it takes no requests any more."""
-        begin, end = self.leaving
-        return begin + 3.3 <= now < end
+        """Return whether it refuses requests, 3.3 s into the shutdown."""
+        start, end = self.leaving
+        return start + 3.3 <= now < end
 
 
 @attrs.define
 class Result:
-    """What callers lost.
+    """Cost of failures, summed over all callers.
 
-    :ivar waited_s: for dead addresses, all callers together
-    :ivar refused: requests sent to a gateway that had left
+    :ivar waited_s: seconds spent on dead addresses
+    :ivar refused: requests sent to a gateway that refused them
     """
 
     waited_s: float = 0.0
@@ -60,7 +64,7 @@
 class _Caller:
     order: list[int]
     addresses: list[int]
-    until: float
+    expires_at: float
     busy_until: float = 0.0
     failed: set[int] = attrs.field(factory=set)
 
@@ -70,27 +74,34 @@
     count: int,
     per_s: float,
     lifetime: Lifetime,
-    length_s: float,
+    duration_s: float,
 ) -> Result:
-    """Let callers send requests for a while; return what they lost."""
-    chance = random.Random(1)
+    """Simulate callers; return the cost of failures.
+
+    :param count: number of callers
+    :param per_s: requests per second and caller
+    :param lifetime: list lifetime in seconds at a time
+    """
+    generator = random.Random(1)
     result = Result()
     numbers = list(range(len(gateways)))
     callers = [
         _Caller(
-            chance.sample(numbers, len(numbers)),
+            generator.sample(numbers, len(numbers)),
             list(numbers),
-            chance.random() * lifetime(0.0),
+            generator.random() * lifetime(0.0),
         )
         for _ in range(count)
     ]
-    for step in range(int(length_s / _STEP_S)):
+    for step in range(int(duration_s / _STEP_S)):
         now = step * _STEP_S
         for caller in callers:
-            if now < caller.busy_until or chance.random() > per_s * _STEP_S:
+            if now < caller.busy_until or generator.random() > per_s * _STEP_S:
                 continue
             spent_s = _look_up(caller, gateways, now, lifetime)
-            spent_s += _send(caller, gateways, now + spent_s, chance, result)
+            spent_s += _send(
+                caller, gateways, now + spent_s, generator, result
+            )
             caller.busy_until = now + spent_s
             result.waited_s += spent_s
     return result
@@ -99,13 +110,13 @@
 def _look_up(
     caller: _Caller, gateways: list[Gateway], now: float, lifetime: Lifetime
 ) -> float:
-    """Get a new list if the old one has run out; return the time spent."""
-    if now < caller.until:
+    """Renew an expired list; return the time spent in seconds."""
+    if now < caller.expires_at:
         return 0.0
     spent_s = 0.0
-    for number in caller.order[:_ASKED]:
+    for number in caller.order[:_LOOKUP_ATTEMPTS_MAX]:
         if gateways[number].is_dead(now + spent_s):
-            spent_s += _DEAD_S
+            spent_s += _TIMEOUT_S
             continue
         if gateways[number].refuses(now):
             continue
@@ -116,7 +127,7 @@
             if gateway.is_listed(at)
         ]
         caller.failed.clear()
-        caller.until = at + lifetime(at)
+        caller.expires_at = at + lifetime(at)
         break
     return spent_s
 
@@ -125,17 +136,19 @@
     caller: _Caller,
     gateways: list[Gateway],
     now: float,
-    chance: random.Random,
+    generator: random.Random,
     result: Result,
 ) -> float:
-    """Send one request; return the time spent on a dead address."""
-    left = [one for one in caller.addresses if one not in caller.failed]
-    if not left:
+    """Send one request; return the seconds spent on a dead address."""
+    candidates = [
+        address for address in caller.addresses if address not in caller.failed
+    ]
+    if not candidates:
         return 0.0
-    number = chance.choice(left)
+    number = generator.choice(candidates)
     if gateways[number].is_dead(now):
         caller.failed.add(number)
-        return _DEAD_S
+        return _TIMEOUT_S
     if gateways[number].refuses(now):
         caller.failed.add(number)
         result.refused += 1
--- a/features/support/calls.py
+++ b/features/support/calls.py
@@ -1,4 +1,4 @@
-"""What callers send in the tests, without the client library's repairs."""
+"""Requests of test callers, sent without the client library's retries."""
 
 import asyncio
 import hashlib
@@ -18,7 +18,12 @@
 
 @attrs.define
 class Reply:
-    """What a caller got."""
+    """A response as a caller received it, complete or not.
+
+    :ivar is_interrupted: whether an error ended the response
+    :ivar first_byte_s: time to the first byte of the body
+    :ivar duration_s: time until the response ended
+    """
 
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
@@ -29,7 +34,7 @@
 
     @property
     def error(self) -> dict[str, typing.Any]:
-        """The typed error, or an empty mapping."""
+        """The fleet's error in the body, or an empty mapping."""
         try:
             return json.loads(self.body)['error']
         except (ValueError, KeyError, TypeError):
@@ -37,27 +42,27 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether a stream says that it is whole, and is."""
-        before, found, length = self.body.rpartition(b': whole bytes=')
+        """Whether a stream ends with its end markers and has their length."""
+        answer, marker, length = self.body.rpartition(b': whole bytes=')
         return (
             not self.is_interrupted
-            and bool(found)
-            and before.endswith(b'data: [DONE]\n\n')
-            and int(length) == len(before)
+            and bool(marker)
+            and answer.endswith(b'data: [DONE]\n\n')
+            and int(length) == len(answer)
         )
 
     @property
     def written_digest(self) -> str:
-        """The digest of what the engine wrote, as the caller got it."""
-        before, _, _ = self.body.rpartition(b': whole bytes=')
-        return hashlib.sha256(before).hexdigest()
+        """Digest of a stream without its end marker, as engines log it."""
+        answer, _, _ = self.body.rpartition(b': whole bytes=')
+        return hashlib.sha256(answer).hexdigest()
 
 
 async def send(address: str, request: http.Request) -> Reply:
-    """Send a request; return what came, whole or not."""
+    """Send a request; return the response, complete or not."""
     reply = Reply()
     pool = http.Pool(address)
-    started = time.monotonic()
+    started_at = time.monotonic()
     try:
         async for part in pool.fetch(request):
             if isinstance(part, http.ResponseHead):
@@ -65,19 +70,19 @@
                 reply.headers = dict(part.headers.get_all())
             else:
                 reply.first_byte_s = (
-                    reply.first_byte_s or time.monotonic() - started
+                    reply.first_byte_s or time.monotonic() - started_at
                 )
                 reply.body += part
     except errors.HoneyportError:
         reply.is_interrupted = True
     finally:
         pool.close()
-    reply.duration_s = time.monotonic() - started
+    reply.duration_s = time.monotonic() - started_at
     return reply
 
 
 def chat_request(
-    name: str,
+    chat: str,
     *,
     account: str = 'district-1',
     tokens: int = 8,
@@ -85,9 +90,9 @@
     service: str = 'draft-llm',
     **headers: str,
 ) -> http.Request:
-    """Return a turn of a chat.
+    """Return a request for a chat turn.
 
-    :param headers: further headers, ``_`` standing for ``-``
+    :param headers: further headers, with ``_`` in place of ``-``
     """
     body = {
         'model': service,
@@ -100,8 +105,11 @@
         path='/v1/chat/completions',
         headers=[
             ('Honeyport-Account', account),
-            ('Honeyport-Chat', name),
-            *((key.replace('_', '-'), v) for key, v in headers.items()),
+            ('Honeyport-Chat', chat),
+            *(
+                (name.replace('_', '-'), value)
+                for name, value in headers.items()
+            ),
         ],
         body=json.dumps(body).encode(),
     )
@@ -115,7 +123,7 @@
     account: str = 'district-1',
     deadline_s: float = 10.0,
 ) -> http.Request:
-    """Return a filing; with a key it must not run twice."""
+    """Return a call to the plain service; with a key it runs at most once."""
     headers = [
         ('Honeyport-Account', account),
         ('Honeyport-Deadline', str(deadline_s)),
@@ -131,17 +139,17 @@
 
 
 def get_request(path: str) -> http.Request:
-    """Return a plain GET."""
+    """Return a GET request without headers."""
     return http.Request(method='GET', path=path)
 
 
 def new_key() -> str:
-    """Return a fresh idempotency key."""
+    """Return a new idempotency key."""
     return claims.new_key(time.time(), secrets.randbits)
 
 
 async def gather(
     *sends: typing.Awaitable[Reply],
 ) -> list[Reply]:
-    """Send several at once."""
+    """Await several replies concurrently."""
     return list(await asyncio.gather(*sends))
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -1,4 +1,4 @@
-"""Asking control replicas, and changing the configuration."""
+"""Queries to control replicas, and changes of the configuration."""
 
 import grpc
 
@@ -7,16 +7,18 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import honeyport_pb2_grpc as rpc
 
-_ASK_S = 0.5
-_LEADER_S = 15.0
+_REQUEST_TIMEOUT_S = 0.5
+_ELECTION_TIMEOUT_S = 15.0
 
 
 async def status(address):
-    """Ask one replica for its status; ``None`` if it does not answer."""
+    """Return a replica's status, or ``None`` if it does not answer."""
     channel = channels.connect(address)
     try:
         stub = rpc.OperatorStub(channel)
-        return await stub.Status(pb.StatusRequest(), timeout=_ASK_S)
+        return await stub.Status(
+            pb.StatusRequest(), timeout=_REQUEST_TIMEOUT_S
+        )
     except grpc.aio.AioRpcError:
         return None
     finally:
@@ -24,46 +26,53 @@
 
 
 async def identify(address):
-    """Ask a replica which disk it has."""
+    """Return a replica's identity, or ``None`` if it does not answer."""
     channel = channels.connect(address)
     try:
         stub = rpc.ReplicaStub(channel)
-        return await stub.Identify(pb.IdentifyRequest(), timeout=_ASK_S)
+        return await stub.Identify(
+            pb.IdentifyRequest(), timeout=_REQUEST_TIMEOUT_S
+        )
     except grpc.aio.AioRpcError:
         return None
     finally:
         await channel.close()
 
 
-async def leader(world, but=()):
-    """Return the name of the replica that leads, when there is one."""
+async def leader(world, excluded=()):
+    """Wait for a leader; return its name.
 
-    async def find():
+    :param excluded: names of replicas that do not count
+    """
+
+    async def find_leader():
         for name, address in world.control.items():
-            if name in but:
+            if name in excluded:
                 continue
-            answer = await status(address)
-            if answer is not None and not answer.failure.code:
+            reply = await status(address)
+            if reply is not None and not reply.failure.code:
                 return name
         return None
 
-    return await world.wait_until(find, 'a replica leads', _LEADER_S)
+    return await world.wait_until(
+        find_leader, 'a replica leads', _ELECTION_TIMEOUT_S
+    )
 
 
-def followers(world, leading):
-    """Return the names of the other replicas."""
-    return [name for name in world.control if name != leading]
+def followers(world, leader_name):
+    """Return the names of the replicas but the leader."""
+    return [name for name in world.control if name != leader_name]
 
 
 async def submit_change(world):
-    """Make the next change and wait until it is in force."""
+    """Submit the next change and wait until it is in force."""
     world.limits['queue'] = 100 + world.version
     await world.roll_out()
 
 
 async def versions_in_force(world):
-    """Return the version in force on each running router."""
-    found = {}
+    """Return the version in force on each running router, by name."""
+    versions = {}
     for name in world.routers:
         if world.processes[name].poll() is None:
             reply = await calls.send(
@@ -71,11 +80,11 @@
             )
             for line in reply.body.decode().splitlines():
                 if line.startswith('honeyport_config_version '):
-                    found[name] = int(float(line.split()[1]))
-    return found
+                    versions[name] = int(float(line.split()[1]))
+    return versions
 
 
 async def has_caught_up(world, name):
-    """Whether a replica answers and may vote."""
-    answer = await identify(world.control[name])
-    return answer is not None and answer.admitted and answer.last_index
+    """Return whether a replica answers, is admitted and has log entries."""
+    identity = await identify(world.control[name])
+    return identity is not None and identity.admitted and identity.last_index
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes, set up for one scenario."""
+"""A fleet of honeyport processes for one scenario."""
 
 import asyncio
 import contextlib
@@ -26,12 +26,12 @@
     'linger_ms': 1500,
     'orders_ms': 100,
 }
-_READY_S = 30.0
-_STOP_S = 10.0
+_READY_TIMEOUT_S = 30.0
+_EXIT_TIMEOUT_S = 10.0
 
 
 class World:
-    """Processes, their settings and what they logged.
+    """Processes of a fleet, their settings and their logs.
 
     :param folder: holds settings, data folders and logs
     """
@@ -53,7 +53,7 @@
 
     @property
     def executions_path(self) -> pathlib.Path:
-        """The log of what the stand-ins ran."""
+        """Path of the execution log that all stand-ins append to."""
         return self.folder / 'executions.jsonl'
 
     @property
@@ -62,26 +62,28 @@
         return [name for name in self.settings if name.startswith('router')]
 
     def address(self, name: str) -> str:
-        """Return where a process serves callers."""
+        """Return the address at which a process serves callers."""
         return self.settings[name]['listen']
 
     def executions_logged(
         self, event: str = 'start'
     ) -> list[dict[str, typing.Any]]:
-        """Return the executions that the stand-ins logged."""
+        """Return the execution log's lines of an event."""
         if not self.executions_path.exists():
             return []
         lines = self.executions_path.read_text().splitlines()
-        found = [json.loads(line) for line in lines if line.endswith('}')]
-        return [line for line in found if line['event'] == event]
+        records = [json.loads(line) for line in lines if line.endswith('}')]
+        return [record for record in records if record['event'] == event]
 
     def log_lines(self, name: str) -> list[dict[str, typing.Any]]:
-        """Return the log lines of a process."""
+        """Return the parsed log lines of a process."""
         path = self.folder / f'{name}.log'
         lines = path.read_text().splitlines() if path.exists() else []
-        return [json.loads(x) for x in lines if x.startswith('{"number')]
+        return [
+            json.loads(line) for line in lines if line.startswith('{"number')
+        ]
 
-    # -- starting ---------------------------------------------------------
+    # -- processes --------------------------------------------------------
 
     def start(self, name: str, *command: str) -> None:
         """Start a honeyport process with its settings."""
@@ -100,10 +102,12 @@
         names = [f'control-{number}' for number in range(1, count + 1)]
         self.control = {name: local.free_address() for name in names}
         for number, name in enumerate(names):
-            self.settings[name] = self._control(name, number, **options)
+            self.settings[name] = self._control_settings(
+                name, number, **options
+            )
             self.start(name, 'control')
 
-    def _control(
+    def _control_settings(
         self, name: str, number: int, **options: typing.Any
     ) -> dict[str, typing.Any]:
         return {
@@ -120,7 +124,7 @@
         }
 
     def start_router(self, name: str, **options: typing.Any) -> None:
-        """Start a router, or start it again."""
+        """Start a router; a second call restarts it."""
         number = int(name.rpartition('-')[2]) - 1
         self.settings.setdefault(
             name,
@@ -136,11 +140,11 @@
         self.start(name, 'router')
 
     def start_engine(self, name: str, **options: typing.Any) -> None:
-        """Start a stand-in engine, or start it again."""
+        """Start a stand-in engine; a second call restarts it."""
         self._start_backend(name, 'draft-llm', 'engine', options)
 
     def start_service(self, name: str, **options: typing.Any) -> None:
-        """Start a stand-in plain service, or start it again."""
+        """Start a stand-in plain service; a second call restarts it."""
         self._start_backend(name, 'field-app', 'service', options)
 
     def _start_backend(
@@ -152,7 +156,7 @@
     ) -> None:
         number = int(name.rpartition('-')[2]) - 1
         domain = DOMAINS[number % 3]
-        relayed = name in self.relays
+        is_relayed = name in self.relays
         slots = options.get('slots', 8)
         self.settings.setdefault(
             name,
@@ -167,7 +171,7 @@
         self.backends[name] = {
             'service': service,
             'address': (
-                self.relays[name].address if relayed else self.address(name)
+                self.relays[name].address if is_relayed else self.address(name)
             ),
             'domain': domain,
             'slots': slots,
@@ -177,7 +181,10 @@
     # -- the bundle -------------------------------------------------------
 
     def bundle(self, version: int | None = None) -> dict[str, typing.Any]:
-        """Return the next bundle as a mapping."""
+        """Return the next bundle as a mapping.
+
+        :param version: replaces the next version number
+        """
         return {
             'version': version or self.version + 1,
             'signers': {'threshold': 1, 'keys': {'ops': self.public_key}},
@@ -199,26 +206,29 @@
         loaded = files.load(path)
         signed = signing.Signed(loaded.version, entries.to_entries(loaded), {})
         signed = signing.sign(signed, str(self.folder / 'keys' / 'ops.pem'))
-        out = self.folder / f'{name}.json'
-        out.write_text(signed.to_json())
-        return str(out)
+        signed_path = self.folder / f'{name}.json'
+        signed_path.write_text(signed.to_json())
+        return str(signed_path)
 
     async def roll_out(self, *, wait: bool = True) -> None:
-        """Submit the next version."""
+        """Sign and submit the next version of the bundle."""
         path = self.sign(self.bundle(), f'bundle-{self.version + 1}')
         await self.submit(path, wait=wait)
         self.version += 1
 
     async def submit(self, path: str, *, wait: bool = True) -> str:
         """Submit a signed bundle through the command line."""
-        extra = ['--wait'] if wait else []
+        flags = ['--wait'] if wait else []
         return await self.run_command(
-            'bundle', 'submit', path, ','.join(self.control.values()), *extra
+            'bundle', 'submit', path, ','.join(self.control.values()), *flags
         )
 
     async def run_command(self, *arguments: str) -> str:
-        """Run an operator's verb; return what it printed."""
-        child = await asyncio.create_subprocess_exec(
+        """Run a honeyport command; return its output.
+
+        :raises AssertionError: if it fails, with its output
+        """
+        process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
             'honeyport',
@@ -226,10 +236,10 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        out, err = await child.communicate()
-        if child.returncode:
-            raise AssertionError((out + err).decode())
-        return out.decode()
+        stdout, stderr = await process.communicate()
+        if process.returncode:
+            raise AssertionError((stdout + stderr).decode())
+        return stdout.decode()
 
     # -- failures ---------------------------------------------------------
 
@@ -238,49 +248,55 @@
         self.processes[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
-        """Kill a process and wait for its end."""
+        """Kill a process and wait until it has ended."""
         self.processes[name].kill()
         await self.wait_exit(name)
 
     async def wait_exit(self, name: str) -> int:
         """Wait for a process to end; return its exit code."""
         process = self.processes[name]
-        async with asyncio.timeout(_STOP_S):
+        async with asyncio.timeout(_EXIT_TIMEOUT_S):
             while process.poll() is None:
                 await asyncio.sleep(0.02)
         return process.returncode
 
     async def start_relay(self, name: str, target: str) -> relay.Relay:
-        """Put a relay, which can be cut, before an address."""
-        made = relay.Relay(target)
-        await made.start()
-        self.relays[name] = made
-        return made
+        """Start a relay to an address, whose connections can be cut."""
+        new_relay = relay.Relay(target)
+        await new_relay.start()
+        self.relays[name] = new_relay
+        return new_relay
 
     # -- waiting ----------------------------------------------------------
 
     async def wait_until(
         self,
         check: typing.Callable[[], typing.Any],
-        what: str,
-        seconds: float = _READY_S,
+        condition: str,
+        timeout_s: float = _READY_TIMEOUT_S,
     ) -> typing.Any:
-        """Wait until a check, plain or asynchronous, holds."""
-        found = None
+        """Wait until a check, plain or asynchronous, returns a true value.
+
+        :param condition: what is awaited, for the error message
+        :returns: the value
+        """
+        result = None
         try:
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_s):
                 while True:
-                    found = check()
-                    if asyncio.iscoroutine(found):
-                        found = await found
-                    if found:
-                        return found
+                    result = check()
+                    if asyncio.iscoroutine(result):
+                        result = await result
+                    if result:
+                        return result
                     await asyncio.sleep(0.05)
         except TimeoutError:
-            raise AssertionError(f'waited in vain until {what}') from None
+            raise AssertionError(
+                f'timed out waiting until {condition}'
+            ) from None
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Stop all tasks, processes and relays."""
         for task in self.tasks:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError, Exception):
@@ -291,5 +307,5 @@
                 process.kill()
         for process in self.processes.values():
             process.wait()
-        for one in self.relays.values():
-            await one.stop()
+        for started_relay in self.relays.values():
+            await started_relay.stop()
