--- a/features/promises/orders.feature
+++ b/features/promises/orders.feature
@@ -1,30 +1,30 @@
-Feature: Only the leader orders engines about, and few of them at once
+Feature: Only the leader sends orders to engines, to a few of them at once
 
   Scenario: a new version of a model is loaded everywhere, two at a time
     Given a fleet of 3 control replicas, 2 routers, 10 engines and a weight store
-    When version "2" of the model is rolled
+    When version "2" of the model is rolled out
     Then every engine has version "2"
     And the weight store never served more than 2 loads at once
     And the weight store refused nothing
-    And turns were answered all the while
+    And all turns sent during the rollout were answered
 
-  Scenario: adapters and roles are ordered like models
+  Scenario: adapters and roles are applied by orders like models
     Given a fleet of 1 control replicas, 1 routers, 2 engines and a weight store
-    When adapters "vi, es" and role "decode" are rolled
+    When adapters "vi, es" and role "decode" are rolled out
     Then every engine has adapters "vi, es" and role "decode"
 
-  Scenario: the leader dies in the middle of a roll
+  Scenario: the leader is killed during a rollout
     Given a fleet of 3 control replicas, 2 routers, 6 engines and a weight store
-    When version "2" of the model is rolled and the leader killed
+    When version "2" of the model is rolled out and the leader is killed
     Then every engine has version "2"
     And the weight store never served more than 2 loads at once
 
-  Scenario: an order of a former leader does no harm
+  Scenario: an order of a former leader has no lasting effect
     Given a fleet of 3 control replicas, 2 routers, 4 engines and a weight store
     When the leader freezes
-    And version "2" of the model is rolled
+    And version "2" of the model is rolled out
     And every engine has version "2"
-    And an order for version "1" with the old fencing number comes late
+    And a late order for version "1" with an old fencing number is sent
     Then the engines that check the number refuse it
-    And the engines that ignore the number are put right
-    And the frozen leader wakes and orders nothing more
+    And the engines that ignore the number return to version "2"
+    And the frozen leader resumes and sends no more orders
--- a/features/promises/whole_answers.feature
+++ b/features/promises/whole_answers.feature
@@ -1,47 +1,47 @@
 Feature: Every caller receives the whole answer to its own request
 
-  Scenario: the connection to the engine is cut in the middle of an answer
+  Scenario: the connection to the engine is cut during an answer
     Given a fleet of 3 control replicas, 2 routers and 2 engines behind relays
     When 6 long answers are running and the engines' connections are cut
     Then every running answer is whole and is what the engine wrote
     And no answer ran twice
 
-  Scenario: the steward is killed in the middle of an answer
+  Scenario: the steward is killed during an answer
     Given a fleet of 3 control replicas, 3 routers and 3 engines
-    When long answers run through one router and the steward of another engine is killed
+    When long answers run on an engine whose steward is another router, which is killed
     Then every running answer is whole and is what the engine wrote
     And no answer ran twice
 
-  Scenario: the steward is frozen in the middle of an answer
+  Scenario: the steward is frozen during an answer
     Given a fleet of 3 control replicas, 3 routers and 3 engines
-    When long answers run through one router and the steward of another engine freezes
-    Then every running answer is whole or visibly cut
+    When long answers run on an engine whose steward is another router, which freezes
+    Then every running answer is whole or visibly incomplete
 
-  Scenario: an engine is killed in the middle of an answer
+  Scenario: an engine is killed during an answer
     Given a fleet of 1 control replicas, 2 routers and 2 engines
     When 6 long answers are running and "draft-llm-1" is killed
-    Then every running answer is whole or visibly cut
-    And those that are cut say so with a typed error
+    Then every running answer is whole or visibly incomplete
+    And the incomplete answers end with an error event
 
-  Scenario: a caller that was cut off resumes at another router
+  Scenario: a caller resumes an interrupted answer at another router
     Given a fleet of 1 control replicas, 2 routers and 2 engines
-    When a caller reads a part of an answer at "router-1" and goes on at "router-2"
+    When a caller reads part of an answer at "router-1" and resumes it at "router-2"
     Then both parts together are what the engine wrote
     And no answer ran twice
 
-  Scenario: a caller that goes away for good stops its engine
+  Scenario: an answer is cancelled when its caller disconnects
     Given a fleet of 1 control replicas, 2 routers and 2 engines
-    When a caller goes away in the middle of an answer at "router-1"
-    Then the engine's work is cancelled
+    When a caller disconnects during an answer at "router-1"
+    Then the engine cancels the answer
 
-  Scenario: many answers cross on one hop
+  Scenario: many concurrent answers share one hop
     Given a fleet of 1 control replicas, 2 routers and 2 engines
     When 40 different turns are sent at once to every router
     Then every answer is whole and is what the engine wrote
     And every caller got the answer to its own request
 
-  Scenario: routers are killed and started again while the library calls
+  Scenario: routers are restarted while the client library sends requests
     Given a fleet of 3 control replicas, 3 routers, 3 engines and 1 services
-    When 30 chats and 30 filings go through the library while routers restart
-    Then the library got every chat whole
+    When 30 chats and 30 filings are sent by the client library while routers restart
+    Then the client library received every chat whole
     And every filing ran at most once
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -64,7 +64,7 @@
 
 
 @behave.when(
-    'long answers run through one router and the steward of another engine '
+    'long answers run on an engine whose steward is another router, which '
     'is killed'
 )
 def step_kill_steward(context):
@@ -73,7 +73,7 @@
 
 
 @behave.when(
-    'long answers run through one router and the steward of another engine '
+    'long answers run on an engine whose steward is another router, which '
     'freezes'
 )
 def step_freeze_steward(context):
@@ -111,7 +111,7 @@
     await asyncio.sleep(0.2)
 
 
-@behave.then('every running answer is whole or visibly cut')
+@behave.then('every running answer is whole or visibly incomplete')
 def step_whole_or_cut(context):
     waiting = asyncio.wait_for(calls.gather(*context.running), 20)
     context.replies = context.run(waiting)
@@ -129,7 +129,7 @@
     context.run(context.world.kill(name))
 
 
-@behave.then('those that are cut say so with a typed error')
+@behave.then('the incomplete answers end with an error event')
 def step_cut_typed(context):
     cut = [reply for reply in context.replies if not reply.is_complete]
     assert cut, 'no answer was cut'
@@ -141,7 +141,8 @@
 
 
 @behave.when(
-    'a caller reads a part of an answer at "{first}" and goes on at "{second}"'
+    'a caller reads part of an answer at "{first}" and resumes it at '
+    '"{second}"'
 )
 def step_go_on(context, first, second):
     context.run(go_on(context, first, second))
@@ -178,7 +179,7 @@
     assert hashlib.sha256(context.got).hexdigest() in written
 
 
-@behave.when('a caller goes away in the middle of an answer at "{router}"')
+@behave.when('a caller disconnects during an answer at "{router}"')
 def step_go_away(context, router):
     context.run(go_away(context, router))
 
@@ -192,7 +193,7 @@
                 break
 
 
-@behave.then("the engine's work is cancelled")
+@behave.then('the engine cancels the answer')
 def step_cancelled(context):
     world = context.world
     context.run(
@@ -233,8 +234,8 @@
 
 
 @behave.when(
-    '{chats:d} chats and {filings:d} filings go through the library while '
-    'routers restart'
+    '{chats:d} chats and {filings:d} filings are sent by the client '
+    'library while routers restart'
 )
 def step_library(context, chats, filings):
     context.run(through_library(context, chats, filings))
@@ -279,7 +280,7 @@
     caller.close()
 
 
-@behave.then('the library got every chat whole')
+@behave.then('the client library received every chat whole')
 def step_library_whole(context):
     digests = collections.Counter(
         line['digest'] for line in context.world.executions_logged('end')
--- a/features/steps/control_failure_steps.py
+++ b/features/steps/control_failure_steps.py
@@ -42,7 +42,7 @@
     await fleet_steps.wait_until_healthy(world)
 
 
-@behave.when('the leader is cut off from the other replicas')
+@behave.when('the leader is isolated from the other replicas')
 def step_cut(context):
     world = context.world
     context.leader = context.run(control.leader(world))
@@ -51,7 +51,7 @@
             way.cut()
 
 
-@behave.when('a change is submitted to the leader that is cut off')
+@behave.when('a change is submitted to the isolated leader')
 def step_submit_cut(context):
     world = context.world
     world.limits['queue'] = 77
@@ -73,19 +73,19 @@
     context.lost = context.run(submit())
 
 
-@behave.then('the change gets no receipt there')
+@behave.then('the change gets no receipt')
 def step_no_receipt(context):
     assert not getattr(context.lost, 'digest', ''), context.lost
 
 
-@behave.when('a change is made on the other side')
+@behave.when('a change is made through the majority')
 def step_change_other_side(context):
     world = context.world
     context.run(control.leader(world, excluded=(context.leader,)))
     context.run(control.submit_change(world))
 
 
-@behave.when('the leader is no longer cut off')
+@behave.when('the leader is no longer isolated')
 def step_mend(context):
     for way in context.world.relays.values():
         way.heal()
@@ -146,7 +146,7 @@
     context.run(world.kill(other))
 
 
-@behave.then('it says that it is not admitted')
+@behave.then('it logs that it is not admitted')
 def step_not_admitted(context):
     world = context.world
 
@@ -183,7 +183,7 @@
     world.start(context.lost, 'control')
 
 
-@behave.then('it ends with a typed error "{code}"')
+@behave.then('it exits with the error "{code}"')
 def step_typed_end(context, code):
     world = context.world
     assert context.run(world.wait_exit(context.lost)) == 2
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -15,7 +15,9 @@
 from honeyport.wire import honeyport_pb2_grpc as rpc
 
 
-@behave.when('each control replica is killed, started again and a change made')
+@behave.when(
+    'each control replica is killed, a change made and it is restarted'
+)
 def step_kill_each(context):
     context.run(kill_each(context.world))
 
@@ -53,7 +55,7 @@
         assert applied == sorted(set(applied)), (name, applied)
 
 
-@behave.when('a change is submitted and the leader killed at once')
+@behave.when('a change is submitted and the leader is killed at once')
 def step_kill_mid_submit(context):
     context.run(kill_mid_submit(context))
 
@@ -86,12 +88,12 @@
     context.run(control.submit_change(context.world))
 
 
-@behave.when('the frozen leader wakes')
+@behave.when('the frozen leader resumes')
 def step_wake(context):
     context.world.send_signal(context.leader, signal.SIGCONT)
 
 
-@behave.then('the frozen leader leads no more')
+@behave.then('the frozen leader has stepped down')
 def step_leads_no_more(context):
     world = context.world
 
@@ -141,7 +143,7 @@
     ]
 
 
-@behave.when('"{router}" is killed and a change is made and it starts again')
+@behave.when('"{router}" is killed, a change is made and it is restarted')
 def step_restart_router(context, router):
     world = context.world
     context.run(world.kill(router))
@@ -189,7 +191,7 @@
     context.run(control.leader(world))
 
 
-@behave.when('a change signed by a stranger is submitted')
+@behave.when('a change signed with an unknown key is submitted')
 def step_stranger(context):
     world = context.world
     signing.write_new_key(str(world.folder / 'stranger'), 'ops')
@@ -208,6 +210,6 @@
     context.answers = context.run(submit_all(world, [str(out)]))
 
 
-@behave.then('it is refused by control with "{code}"')
+@behave.then('control refuses it with "{code}"')
 def step_refused_by_control(context, code):
     assert code in str(context.answers[0]), context.answers
--- a/features/steps/domain_verb_steps.py
+++ b/features/steps/domain_verb_steps.py
@@ -18,7 +18,7 @@
     context.run(_order(context.world, 'evacuate', domain))
 
 
-@behave.when('an operator takes the failure domain {domain} back')
+@behave.when('an operator restores the failure domain {domain}')
 def step_restore(context, domain):
     context.run(_order(context.world, 'restore', domain))
 
@@ -49,13 +49,13 @@
     assert f'evacuated {domain}' in shown, shown
 
 
-@behave.then('chats sent from now on run outside of thu-duc')
+@behave.then('new chats run outside of thu-duc')
 def step_outside(context):
     found = context.run(_domains_of_new_chats(context.world))
     assert found and _DOMAIN not in found, found
 
 
-@behave.then('chats sent from now on run in thu-duc as well')
+@behave.then('new chats run in thu-duc as well')
 def step_inside(context):
     async def check():
         return _DOMAIN in await _domains_of_new_chats(context.world)
@@ -63,7 +63,7 @@
     context.run(context.world.wait_until(check, 'chats run in thu-duc again'))
 
 
-@behave.then('the operator is told that it is unknown, and which there are')
+@behave.then('the error says that it is unknown and names the known ones')
 def step_unknown(context):
     assert 'HP-3209' in context.told, context.told
     assert 'thu-duc' in context.told, context.told
--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -14,7 +14,9 @@
 _ENDING_BODY = b'what no server survives'
 
 
-@behave.when('a filing that ends its server comes until {count:d} have ended')
+@behave.when(
+    'a filing that crashes its server is sent until {count:d} crashed'
+)
 def step_until(context, count):
     context.numbers = itertools.count(1)
     context.ends = 0
@@ -22,13 +24,13 @@
     context.run(_send_until(context, count))
 
 
-@behave.when('it comes {count:d} times at every router, and others between')
+@behave.when('it is sent {count:d} times to every router, among other filings')
 def step_again(context, count):
     context.before = _ran(context)
     context.run(_send_again(context, count))
 
 
-@behave.then('it was run at most {most:d} times in that time')
+@behave.then('it ran at most {most:d} more times')
 def step_ran(context, most):
     ran = _ran(context) - context.before
     assert ran <= most, (ran, context.ends)
@@ -41,7 +43,7 @@
         assert found == (code, False), reply
 
 
-@behave.then('the other filings were all answered')
+@behave.then('all other filings were answered')
 def step_others(context):
     wrong = [one for one in context.others if one.status != 200]
     assert context.others and not wrong, wrong[:3]
--- a/features/steps/engine_steps.py
+++ b/features/steps/engine_steps.py
@@ -35,13 +35,13 @@
     )
 
 
-@behave.when('{count:d} turns of few chats come in over {seconds:d} seconds')
+@behave.when('{count:d} turns of ten chats are sent over {seconds:d} seconds')
 def step_surge(context, count, seconds):
     context.run(surge(context, count, seconds))
 
 
 @behave.when(
-    '{count:d} turns of few chats come in over {seconds:d} seconds and '
+    '{count:d} turns of ten chats are sent over {seconds:d} seconds and '
     '"{router}" is killed'
 )
 def step_surge_kill(context, count, seconds, router):
@@ -73,7 +73,7 @@
     )
 
 
-@behave.then('no engine ran more than its bound at any start')
+@behave.then('no engine exceeded its bound when a request started')
 def step_bound(context):
     over = over_bound(context.world)
     assert not over, over[:5]
@@ -120,7 +120,7 @@
     context.run(context.world.kill(name))
 
 
-@behave.when('"{name}" starts again')
+@behave.when('"{name}" is restarted')
 def step_start_engine(context, name):
     context.world.start_engine(name)
 
@@ -187,7 +187,7 @@
     )
 
 
-@behave.when('the instance list says that "{name}" is leaving')
+@behave.when('the instance list shows "{name}" as leaving')
 def step_leaving(context, name):
     request = http.Request(
         method='POST',
@@ -198,7 +198,7 @@
     assert context.run(calls.send(address, request)).status == 200
 
 
-@behave.when('a bundle without "{name}" is rolled')
+@behave.when('a bundle without "{name}" is rolled out')
 def step_without(context, name):
     del context.world.backends[name]
     context.run(context.world.roll_out())
@@ -261,7 +261,7 @@
     context.replies = context.big + context.little
 
 
-@behave.then('the turns of "{small}" wait no longer than a third of the surge')
+@behave.then('the turns of "{small}" take less than a third of the surge')
 def step_no_longer(context, small):
     surge_s = max(reply.duration_s for reply in context.big)
     little_s = max(reply.duration_s for reply in context.little)
@@ -269,8 +269,8 @@
 
 
 @behave.when(
-    '{count:d} long turns with a deadline of {seconds:d} seconds come in at '
-    'once'
+    '{count:d} long turns with a deadline of {seconds:d} seconds are sent '
+    'at once'
 )
 def step_deadline(context, count, seconds):
     address = context.world.address('router-1')
@@ -294,8 +294,8 @@
 
 
 @behave.then(
-    'those that cannot start are refused within {limit:d} ms and told when '
-    'to come back'
+    'turns that cannot start are refused within {limit:d} ms with a '
+    'Retry-After header'
 )
 def step_refused_at_once(context, limit):
     refused = [reply for reply in context.replies if reply.status == 429]
@@ -332,7 +332,7 @@
     return await calls.gather(*(one(chat) for chat in context.chats))
 
 
-@behave.then('the next turns of these chats find their prefixes elsewhere')
+@behave.then('the next turns of these chats hit the caches of other engines')
 def step_elsewhere(context):
     world = context.world
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -47,7 +47,7 @@
     context.world.send_signal(name, signal.SIGSTOP)
 
 
-@behave.when('"{name}" wakes after {pause:d} ms')
+@behave.when('"{name}" resumes after {pause:d} ms')
 def step_wake(context, name, pause):
     context.run(asyncio.sleep(pause / 1000))
     context.world.send_signal(name, signal.SIGCONT)
--- a/features/steps/filing_steps.py
+++ b/features/steps/filing_steps.py
@@ -69,7 +69,7 @@
     ]
 
 
-@behave.then('both answers are the same and the second is a recorded one')
+@behave.then('both answers are the same and the second is marked as recorded')
 def step_recorded(context):
     one, two = context.replies
     assert one.status == two.status == 200, context.replies
@@ -99,7 +99,7 @@
     )
 
 
-@behave.when('a filing is sent to "{router}" whose answer the service loses')
+@behave.when('a filing is sent to "{router}" and its answer is lost')
 def step_lost_answer(context, router):
     begin(context)
     context.options = {'query': '?close=1'}
@@ -112,7 +112,7 @@
     context.replies = [context.run(sending)]
 
 
-@behave.then('it is answered with "{code}" and nobody knows if it ran')
+@behave.then('it is answered with "{code}" and an unknown outcome')
 def step_unknown(context, code):
     error = context.replies[-1].error
     assert error.get('code') == code, context.replies[-1]
@@ -178,13 +178,13 @@
     step_same(context, router)
 
 
-@behave.when('a filing waits with its claim at "{router}", which is killed')
+@behave.when('a filing is claimed and queued at "{router}", which is killed')
 def step_kill_waiting(context, router):
     context.run(wait_with_claim(context, router))
     context.run(context.world.kill(router))
 
 
-@behave.when('a filing waits with its claim at "{router}", which freezes')
+@behave.when('a filing is claimed and queued at "{router}", which freezes')
 def step_freeze_waiting(context, router):
     context.run(wait_with_claim(context, router))
     context.world.send_signal(router, signal.SIGSTOP)
@@ -249,7 +249,7 @@
     assert context.replies[-1].status == status, context.replies[-1]
 
 
-@behave.when('a filing is refused for want of room')
+@behave.when('a filing is refused because no slot is free')
 def step_no_room(context):
     begin(context)
     context.run(refused(context))
@@ -269,7 +269,7 @@
     context.replies = [reply]
 
 
-@behave.when('a filing is sent to "{router}" and another one with its key')
+@behave.when('a filing is sent to "{router}" and a different one with its key')
 def step_other_body(context, router):
     begin(context)
     context.run(file(context, router, context.key))
@@ -339,7 +339,7 @@
     assert not doubled, doubled
 
 
-@behave.then('what the callers were told agrees with what ran')
+@behave.then("the callers' answers agree with the execution log")
 def step_agrees(context):
     world = context.world
     told = collections.defaultdict(list)
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -73,7 +73,7 @@
     return [json.loads(line) for line in lines]
 
 
-@behave.when('version "{version}" of the model is rolled')
+@behave.when('version "{version}" of the model is rolled out')
 def step_roll_version(context, version):
     context.run(roll_version(context, version))
 
@@ -92,7 +92,7 @@
 
 
 @behave.when(
-    'version "{version}" of the model is rolled and the leader killed'
+    'version "{version}" of the model is rolled out and the leader is killed'
 )
 def step_roll_kill(context, version):
     context.run(roll_kill(context, version))
@@ -115,7 +115,7 @@
     )
 
 
-@behave.when('adapters "{adapters}" and role "{role}" are rolled')
+@behave.when('adapters "{adapters}" and role "{role}" are rolled out')
 def step_adapters(context, adapters, role):
     world = context.world
     world.model['adapters'] = adapters.split(', ')
@@ -147,7 +147,7 @@
     assert not counted['refused'], counted
 
 
-@behave.then('turns were answered all the while')
+@behave.then('all turns sent during the rollout were answered')
 def step_turns(context):
     assert all(reply.is_complete for reply in context.turns), [
         reply for reply in context.turns if not reply.is_complete
@@ -155,7 +155,7 @@
 
 
 @behave.when(
-    'an order for version "{version}" with the old fencing number comes late'
+    'a late order for version "{version}" with an old fencing number is sent'
 )
 def step_late_order(context, version):
     context.run(late_order(context, version))
@@ -186,7 +186,7 @@
         assert reply.status == (409 if checks else 200), (name, reply)
 
 
-@behave.then('the engines that ignore the number are put right')
+@behave.then('the engines that ignore the number return to version "2"')
 def step_put_right(context):
     world = context.world
     ignoring = [
@@ -199,7 +199,7 @@
     )
 
 
-@behave.then('the frozen leader wakes and orders nothing more')
+@behave.then('the frozen leader resumes and sends no more orders')
 def step_orders_nothing(context):
     world = context.world
     before = len(ordered(world, context.leader))
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -53,7 +53,7 @@
         check_written(context, reply)
 
 
-@behave.then('no router had to pass it on')
+@behave.then('it was served without a hop')
 def step_no_hop(context):
     reply = context.run(
         calls.send(context.found, calls.get_request('/metrics'))
@@ -111,7 +111,7 @@
     assert len(message['content'].split()) == 8
 
 
-@behave.when('a caller asks "{router}" for a service that is not there')
+@behave.when('a caller asks "{router}" for a service that does not exist')
 def step_no_service(context, router):
     send(context, router, calls.chat_request('c', service='no-such'))
 
