--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -35,8 +35,8 @@
     '{count:d} instances that keep connections open, and a request that '
     'crashes them'
 )
-def step_silent_instances(context, count):
-    start_instances(context, count, silent=True)
+def step_keeping_connections(context, count):
+    start_instances(context, count, keep_connections=True)
 
 
 @behave.when('the request is sent to every gateway at once')
@@ -53,7 +53,7 @@
 
 
 @behave.when('the leading instance is killed and started again')
-def step_kill_leader(context):
+def step_restart_leader(context):
     platform = context.platform
     node = context.run(platform_steps.find_leader(platform))
     platform.send_signal(node, signal.SIGKILL)
--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -120,7 +120,7 @@
         ]
         return f'"control": ["{platform.seeds[0]}:' in lines[-1]
 
-    context.run(platform_steps.until(read, _RELOAD_S))
+    context.run(platform_steps.wait_until(read, _RELOAD_S))
 
 
 @behave.when('the role {role} has not run its imports')
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -98,7 +98,7 @@
 
     async def check():
         for number, node in enumerate(platform.nodes):
-            await platform_steps.until(
+            await platform_steps.wait_until(
                 lambda node=node, number=number: _is_answered(
                     platform, node, number
                 ),
--- a/features/steps/listing_steps.py
+++ b/features/steps/listing_steps.py
@@ -98,7 +98,7 @@
         """Serve the list and read it once."""
         bodies = self.bodies()
 
-        def answer(request):
+        def respond(request):
             number = int(request.arguments.get('page_token', [b'0'])[0])
             body = bodies[number]
             response_head = (
@@ -110,7 +110,7 @@
 
         address = local.free_address()
         host, _, port = address.rpartition(':')
-        server = httpserver.HTTPServer(answer)
+        server = httpserver.HTTPServer(respond)
         server.listen(int(port), host)
         try:
             return await listing.create_source(address)()
@@ -301,7 +301,7 @@
         host, _, port = address.rpartition(':')
         loop = asyncio.get_running_loop()
         server = httpserver.HTTPServer(
-            lambda request: loop.call_later(page_s, self._answer, request)
+            lambda request: loop.call_later(page_s, self._respond, request)
         )
         server.listen(int(port), host)
         source = listing.create_source(address, self.zones)
@@ -317,7 +317,7 @@
             await server.close_all_connections()
         return timed_readings
 
-    def _answer(self, request):
+    def _respond(self, request):
         zone = request.arguments.get('zone', [b''])[0].decode()
         first = int(request.arguments.get('page_token', [b'0'])[0])
         self.calls.append((zone, first))
--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -64,7 +64,7 @@
     for number in (first, second):
         node = platform.node(number)
         context.run(
-            platform_steps.until(
+            platform_steps.wait_until(
                 lambda node=node: is_unavailable(node), _TIMEOUT_S
             )
         )
--- a/features/steps/platform_format_steps.py
+++ b/features/steps/platform_format_steps.py
@@ -100,7 +100,7 @@
 
 
 @behave.then('the instance is named "{name}" in the failure domain "{zone}"')
-def step_called(context, name, zone):
+def step_named(context, name, zone):
     assert (context.decoded.name, context.decoded.domain) == (name, zone)
 
 
@@ -181,7 +181,7 @@
     '"{request}" with key "{key}" is routed to "{service}" for account '
     '"{account}"'
 )
-def step_goes(context, request, key, service, account):
+def step_routed(context, request, key, service, account):
     match = _find_route(context, request, key)
     assert list(match.route.weights) == [service], match
     assert match.account == account
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -58,7 +58,7 @@
         voters = [await _read_voters(node) for node in replicas]
         return voters == [count] * len(voters)
 
-    context.run(until(have_voters, _READ_TIMEOUT_S))
+    context.run(wait_until(have_voters, _READ_TIMEOUT_S))
 
 
 @behave.when(
@@ -124,7 +124,7 @@
     node.data.mkdir()
     platform.launch(node)
     context.run(
-        until(lambda: _has_version(platform, node, 7), _READ_TIMEOUT_S)
+        wait_until(lambda: _has_version(platform, node, 7), _READ_TIMEOUT_S)
     )
     # It joins as a learner and votes after the next membership change.
     context.run(asyncio.sleep(1.0))
@@ -154,7 +154,7 @@
 def step_stop_processes(context, seconds):
     platform = context.platform
     last = platform.nodes[2]
-    context.run(until(lambda: _is_ready(platform, last), _READ_TIMEOUT_S))
+    context.run(wait_until(lambda: _is_ready(platform, last), _READ_TIMEOUT_S))
     for node in platform.nodes[:2]:
         platform.send_signal(node, signal.SIGSTOP)
     context.run(asyncio.sleep(seconds))
@@ -182,7 +182,7 @@
         logs = [node.log.read_text() for node in platform.nodes]
         return any('member_removed' in text for text in logs)
 
-    context.run(until(is_removed, _READ_TIMEOUT_S))
+    context.run(wait_until(is_removed, _READ_TIMEOUT_S))
 
 
 @behave.when('an operator sends version {version:d} to instance {number:d}')
@@ -225,7 +225,7 @@
         status, body = await platform.request(platform.nodes[0], 3, path)
         return status == 200 and len(json.loads(body)['addresses']) == count
 
-    context.run(until(has_addresses, _READ_TIMEOUT_S))
+    context.run(wait_until(has_addresses, _READ_TIMEOUT_S))
 
 
 @behave.then("a caller's request to each of them is answered")
@@ -273,7 +273,9 @@
     """
     for node in nodes:
         context.run(
-            until(lambda node=node: _is_ready(context.platform, node), seconds)
+            wait_until(
+                lambda node=node: _is_ready(context.platform, node), seconds
+            )
         )
 
 
@@ -285,7 +287,7 @@
     for number in numbers:
         node = context.platform.node(number)
         context.run(
-            until(
+            wait_until(
                 lambda node=node: _has_version(
                     context.platform, node, version
                 ),
@@ -341,7 +343,7 @@
             await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-async def until(check, seconds):
+async def wait_until(check, seconds):
     """Wait until a check returns true.
 
     :raises TimeoutError: after the given seconds
--- a/features/steps/seed_steps.py
+++ b/features/steps/seed_steps.py
@@ -45,7 +45,7 @@
                 return True
         return False
 
-    context.run(platform_steps.until(leader_is_killed, _TIMEOUT_S))
+    context.run(platform_steps.wait_until(leader_is_killed, _TIMEOUT_S))
 
 
 @behave.when('a lease expires')
@@ -89,7 +89,7 @@
         logs = [node.log.read_text() for node in platform.nodes]
         return all(expected in _last_reload(text) for text in logs)
 
-    context.run(platform_steps.until(have_reloaded, _TIMEOUT_S))
+    context.run(platform_steps.wait_until(have_reloaded, _TIMEOUT_S))
 
 
 def _last_reload(text):
--- a/features/support/crashing.py
+++ b/features/support/crashing.py
@@ -34,7 +34,7 @@
     """Several instances of the service ``app`` on a platform.
 
     :param keep_names: whether an instance keeps its name after a crash
-    :param silent: whether a crash leaves connections open
+    :param keep_connections: whether a crash leaves connections open
     :ivar is_fixed: whether the crashing request runs like any other
     """
 
@@ -44,20 +44,20 @@
         count: int,
         *,
         keep_names: bool = False,
-        silent: bool = False,
+        keep_connections: bool = False,
     ) -> None:
         self.counts = Counts()
         self._platform = platform
         self._numbers = itertools.count(1)
         self._keep_names = keep_names
-        self._silent = silent
+        self._keep_connections = keep_connections
         self.is_fixed = False
         self._instances = [_Instance(self) for _ in range(count)]
 
     @property
-    def silent(self) -> bool:
+    def keep_connections(self) -> bool:
         """Whether a crash leaves connections open."""
-        return self._silent
+        return self._keep_connections
 
     async def start(self) -> None:
         """Start all instances and publish the list."""
@@ -126,7 +126,7 @@
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
-            if self._group.silent:
+            if self._group.keep_connections:
                 self._open_after_crash.append(writer)
             else:
                 writer.transport.abort()
--- a/features/support/platform.py
+++ b/features/support/platform.py
@@ -72,7 +72,7 @@
     ],
     'limits': {'idle_timeout_ms': 15000},
     'tenants': [{'name': 'district', 'api_keys': [KEY]}],
-    'of_tomorrow': {'kept': True},
+    'unknown_field': {'kept': True},
 }
 
 
--- a/src/honeyport/platform/boot.py
+++ b/src/honeyport/platform/boot.py
@@ -195,7 +195,7 @@
         )
 
     def _regions(self) -> dict[str, str]:
-        """Return the region of each failure domain, with its own one."""
+        """Return the region of each failure domain, this one's included."""
         regions = {
             key.removeprefix(_ZONE_PREFIX): region
             for key, region in self._values.items()
