--- a/bench/rests.py
+++ b/bench/rests.py
@@ -126,7 +126,7 @@
         """Simulate the load to its end."""
         listed = choices.instance_list(self._domains)
         for gateway in self._gateways:
-            gateway.balancer.update(listed, {}, 0.0)
+            gateway.balancer.apply_instances(listed, {}, 0.0)
         while _now() < _SIMULATED_S:
             await asyncio.sleep(_STEP_S)
             for number in range(len(self._gateways)):
@@ -167,7 +167,7 @@
         return prefixes.Part(prefix, 6000), prefixes.Part(suffix, 500)
 
     async def _serve(self, gateway: _Gateway, instance) -> None:
-        with gateway.balancer.track(instance):
+        with gateway.balancer.count_in_flight(instance):
             await asyncio.sleep(_SERVICE_TIME_S)
         gateway.balancer.record_success(instance, ())
 
@@ -193,15 +193,15 @@
         """Make an instance unreachable on all gateways for its backoff."""
         loop = asyncio.get_running_loop()
         for gateway in self._gateways:
-            gateway.balancer.set_unreachable(
-                gateway.balancer._unreachable | {name}
+            gateway.balancer.set_fleet_unreachable(
+                gateway.balancer._fleet_unreachable | {name}
             )
         loop.call_later(_RETRY_AFTER_S - _PROPAGATION_S, self._readmit, name)
 
     def _readmit(self, name: str) -> None:
         for gateway in self._gateways:
-            gateway.balancer.set_unreachable(
-                gateway.balancer._unreachable - {name}
+            gateway.balancer.set_fleet_unreachable(
+                gateway.balancer._fleet_unreachable - {name}
             )
 
 
--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -52,7 +52,7 @@
         leaving = [
             gateway for gateway in context.gateways if gateway.is_leaving(now)
         ]
-        policy.record_leaving(leaving, now)
+        policy.record_draining(leaving, now)
         return policy.lifetime_s(now)
 
     return lifetime
@@ -88,7 +88,7 @@
 def step_lifetime(context, at, lifetime_s):
     policy = addresses.ListLifetime()
     if at >= context.draining_at:
-        policy.record_leaving(['gateway'], context.draining_at)
+        policy.record_draining(['gateway'], context.draining_at)
     assert policy.lifetime_s(float(at)) == lifetime_s
 
 
--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -19,12 +19,12 @@
 def step_header(context, text):
     if text in _DATES:
         text = email.utils.formatdate(time.time() + _DATES[text], usegmt=True)
-    context.requested_s = retry_after.parse_s(text)
+    context.requested_s = retry_after.parse_delay_s(text)
 
 
 @behave.when('an instance answers 503 with Retry-After ""')
 def step_no_header(context):
-    context.requested_s = retry_after.parse_s('')
+    context.requested_s = retry_after.parse_delay_s('')
 
 
 @behave.then('it requests a backoff of nothing')
@@ -34,7 +34,9 @@
 
 @behave.then('it requests a backoff of {seconds:g} s')
 def step_backoff(context, seconds):
-    backoff = rests.Backoffs().request(_INSTANCE, context.requested_s, 0.0)
+    backoff = rests.Backoffs().record_backoff(
+        _INSTANCE, context.requested_s, 0.0
+    )
     assert backoff.granted_s == seconds, backoff
 
 
@@ -48,7 +50,7 @@
 def step_requested(context, seconds):
     context.backoffs = rests.Backoffs()
     context.now = 0.0
-    context.backoffs.request(_INSTANCE, float(seconds), context.now)
+    context.backoffs.record_backoff(_INSTANCE, float(seconds), context.now)
 
 
 @behave.when('1 s later it answers a request that was sent before')
@@ -58,13 +60,13 @@
 
 @behave.when('1 s later it requests a backoff of {seconds:d} s')
 def step_requests_again(context, seconds):
-    backoff = context.backoffs.request(_INSTANCE, float(seconds), 1.0)
+    backoff = context.backoffs.record_backoff(_INSTANCE, float(seconds), 1.0)
     assert not backoff.is_new
 
 
 @behave.when('1 s later it rejects a request without Retry-After')
 def step_rejects(context):
-    assert retry_after.parse_s('') is None
+    assert retry_after.parse_delay_s('') is None
 
 
 @behave.when('1 s later a new list of instances contains it')
@@ -102,7 +104,7 @@
     context.requested_s = float(seconds)
     by_gateway = [rests.Backoffs() for _ in range(count)]
     for backoffs in by_gateway:
-        backoffs.request(_INSTANCE, context.requested_s, 0.0)
+        backoffs.record_backoff(_INSTANCE, context.requested_s, 0.0)
     context.ends = sorted(
         backoffs.remaining_s(_INSTANCE, 0.0) for backoffs in by_gateway
     )
--- a/features/steps/catalog_steps.py
+++ b/features/steps/catalog_steps.py
@@ -116,8 +116,8 @@
             )
         return readings.Reading(
             instances=self.listed_instances,
-            refusals=self.refusals,
-            missing=self.missing,
+            refused_entries=self.refusals,
+            missing_reason=self.missing,
         )
 
     def place(self, name: str) -> str:
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -38,11 +38,11 @@
         listed = pb.Instances(number=1)
         for place in context.places:
             listed.instances.add(id=place, service='llm', place=place)
-        balancer.update(listed, {}, 0.0)
+        balancer.apply_instances(listed, {}, 0.0)
         with contextlib.ExitStack() as held:
             for _ in range(200):
                 choice = balancer.choose('llm', context.prompts[0], ())
-                held.enter_context(balancer.track(choice.instance))
+                held.enter_context(balancer.count_in_flight(choice.instance))
             return dict(balancer.running)
 
     running = context.run(place())
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -12,7 +12,7 @@
 from honeyport.policy import cold
 from honeyport.policy import prefixes
 
-_TOLERANCE = cold.tolerance(3.0, 9.6, multiple=1.5, extra=5.0)
+_TOLERANCE = cold.cold_limit(3.0, 9.6, multiple=1.5, extra=5.0)
 _COLD_MS = 3000
 _DURATION_S = 0.3
 _SEEDS = (1, 2, 3)
@@ -67,7 +67,7 @@
         )
         for instance in listed.instances:
             instance.cold_ms = _COLD_MS if instance.id in self.cold else 0
-        balancer.update(listed, {}, asyncio.get_running_loop().time())
+        balancer.apply_instances(listed, {}, asyncio.get_running_loop().time())
         return balancer
 
     def _hot_prompt(self):
@@ -87,7 +87,7 @@
             return
         self.sent += 1
         loop = asyncio.get_running_loop()
-        tracking = choice.track(chosen)
+        tracking = choice.count_in_flight(chosen)
         tracking.__enter__()
         loop.call_later(_DURATION_S, tracking.__exit__, None, None, None)
         if chosen.id in self.cold:
--- a/features/steps/domain_steps.py
+++ b/features/steps/domain_steps.py
@@ -24,7 +24,7 @@
         self.balancer = choices.make_balancer('g-1', domains[0], self.regions)
         self.balancer.set_cold_limits(
             {
-                choices.SERVICE: cold.tolerance(
+                choices.SERVICE: cold.cold_limit(
                     2.5, 2.0, multiple=1.5, extra=2.0
                 )
             }
@@ -44,7 +44,7 @@
 
     async def _apply_list(self):
         self.balancer.set_gateways(['g-1', 'g-2'])
-        self.balancer.update(self.instance_list, {}, 0.0)
+        self.balancer.apply_instances(self.instance_list, {}, 0.0)
 
     async def evacuate(self, domains):
         """Set the evacuated domains."""
@@ -57,7 +57,7 @@
             has_prompt = kinds[number % len(kinds)]
             parts = choices.prompt_parts(f's-{number}') if has_prompt else ()
             choice = self.balancer.choose(choices.SERVICE, parts, (), regions)
-            with self.balancer.track(choice.instance):
+            with self.balancer.count_in_flight(choice.instance):
                 chosen.append(choice)
         return chosen
 
@@ -71,7 +71,7 @@
             mean_load = running.total() / len(self.instance_list.instances)
             loads.append((running[choice.instance.id], mean_load))
             self.held_requests.enter_context(
-                self.balancer.track(choice.instance)
+                self.balancer.count_in_flight(choice.instance)
             )
         return loads
 
--- a/features/steps/listing_steps.py
+++ b/features/steps/listing_steps.py
@@ -147,7 +147,7 @@
             entry[field] = json.loads(value)
         read_with_replaced(context, replaced, entry)
         step_names(context, names)
-        [refusal] = context.reading.refusals
+        [refusal] = context.reading.refused_entries
         assert refusal.reason.startswith(field), refusal
 
 
@@ -218,7 +218,7 @@
 
 @behave.then('the reading is incomplete')
 def step_rest(context):
-    assert context.reading.missing
+    assert context.reading.missing_reason
 
 
 @behave.then('the list cannot be read')
@@ -356,7 +356,7 @@
     expected = {entry['id'] for entry in context.listed.entries}
     for reading, _ in context.timed_readings:
         assert {instance.id for instance in reading.instances} == expected
-        assert not reading.missing
+        assert not reading.missing_reason
 
 
 @behave.then(
--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -17,7 +17,9 @@
     context.sent = []
     now = 100.0
     while len(context.sent) < count:
-        while len(context.sent) < count and context.bucket.may_send(size, now):
+        while len(context.sent) < count and context.bucket.try_consume(
+            size, now
+        ):
             context.sent.append((now - 100.0, size))
         now += _TICK_S
 
--- a/features/steps/platform_format_steps.py
+++ b/features/steps/platform_format_steps.py
@@ -129,7 +129,7 @@
     '{max_requests:g} requests'
 )
 def step_cold(context, per_s, max_requests):
-    actual = cold.tolerance(
+    actual = cold.cold_limit(
         3.0,
         per_s,
         multiple=context.decoded.cold_multiple,
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -33,7 +33,7 @@
                 leaving=entry.leaving,
                 place=entry.place,
             )
-        self.balancer.update(instance_list, {}, 0.0)
+        self.balancer.apply_instances(instance_list, {}, 0.0)
 
     def ranked_instance(self, rank):
         """Return the instance with a rank for a prompt of the subject."""
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -78,7 +78,7 @@
         # The other gateways of a domain have not tried to connect.
         others = _GATEWAYS_PER_DOMAIN - 1
         reports += [reach.GatewayReport(domain, frozenset())] * others
-    excluded = reach.Exclusions().update(
+    excluded = reach.ExclusionTracker().update(
         reports, context.domains, context.silent_domains, 0.0
     )
     assert excluded == expected, excluded
@@ -86,7 +86,7 @@
 
 @behave.then('it is excluded for {durations} seconds in turn')
 def step_durations(context, durations):
-    exclusions = reach.Exclusions()
+    exclusions = reach.ExclusionTracker()
     now = 0.0
     reports = [
         reach.GatewayReport(domain, down)
@@ -132,7 +132,7 @@
             for number in range(gateways)
             if names[number % domains] != self.lost
         ]
-        self.reach = reach.Exclusions()
+        self.reach = reach.ExclusionTracker()
         self.silent_domains = {self.lost}
         self.updates = []
 
@@ -140,7 +140,7 @@
         """Send the list of instances to all gateways."""
         listed = choices.instance_list(self.domains)
         for gateway in self.connected:
-            gateway.update(listed, {}, 0.0)
+            gateway.apply_instances(listed, {}, 0.0)
 
     async def play(self, seconds, per_s):
         """Simulate requests; return the share sent to lost instances."""
@@ -181,7 +181,7 @@
         for at, excluded_then in self.updates:
             if at <= now - _PROPAGATION_S:
                 for gateway in self.connected:
-                    gateway.set_unreachable(excluded_then)
+                    gateway.set_fleet_unreachable(excluded_then)
 
 
 @behave.given(
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -177,7 +177,7 @@
     names = [f'engine-{number}' for number in range(engines)]
     loads = dict.fromkeys(names, 0)
     for total in range(count):
-        max_load = hashing.max_load(multiple, total, engines)
+        max_load = hashing.load_bound(multiple, total, engines)
         ranked = hashing.rank(f'chat-{total % 60}', names, engines)
         chosen = next(name for name in ranked if loads[name] < max_load)
         loads[chosen] += 1
--- a/features/support/simulation.py
+++ b/features/support/simulation.py
@@ -175,7 +175,7 @@
 
     async def propose_place(self, name: str) -> str:
         """Propose a place; return its name if acknowledged, else ``''``."""
-        change = places.Change({name: places.Holding('llm', name)}, ())
+        change = places.Change({name: places.PlaceAssignment('llm', name)}, ())
         return (
             name
             if await self._propose_command(machine.place_change(change))
--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -123,7 +123,7 @@
             return
         logs.emit(
             events.PLACES_CHANGED,
-            put={name: place.holder for name, place in change.put.items()},
+            put={name: place.holder for name, place in change.updated.items()},
             removed=change.removed,
         )
 
@@ -142,8 +142,8 @@
 
     def _update(self, reading: readings.Reading) -> None:
         """Publish a new list if the reading differs from the latest one."""
-        self._log_readability(reading.missing)
-        self._log_refusals(tuple(reading.refusals))
+        self._log_readability(reading.missing_reason)
+        self._log_refusals(tuple(reading.refused_entries))
         instances = readings.merge(self._instances, reading)
         self._assign_places(instances)
         has_new_cold_period = self._extract_cold_periods(instances)
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -94,7 +94,7 @@
         self._lists = lists or instance_lists.InstanceLists()
         self._loads = loads.Loads(self._lists)
         self._known_domains: set[str] = set()
-        self._exclusions = reach.Exclusions()
+        self._exclusions = reach.ExclusionTracker()
 
     @property
     def view(self) -> pb.View:
--- a/src/honeyport/control/machine.py
+++ b/src/honeyport/control/machine.py
@@ -48,7 +48,7 @@
         self._accepted = Accepted()
         self._history: dict[int, str] = {}
         self._claims = claims.Claims()
-        self._places: dict[str, places.Holding] = {}
+        self._places: dict[str, places.PlaceAssignment] = {}
         self._routers: dict[str, str] = {}
         self._suspects: dict[str, tuple[str, ...]] = {}
         self._evacuated: frozenset[str] = frozenset()
@@ -69,7 +69,7 @@
         return self._claims
 
     @property
-    def places(self) -> places.Holdings:
+    def places(self) -> places.PlaceAssignments:
         """Holdings by place, the latest assignment last."""
         return self._places
 
@@ -220,17 +220,17 @@
 def place_change(change: places.Change) -> pb.PlaceChange:
     """Return the log command for a change of places."""
     return pb.PlaceChange(
-        put=_holding_messages(change.put), removed=change.removed
+        put=_holding_messages(change.updated), removed=change.removed
     )
 
 
-def _holding_messages(holdings: places.Holdings) -> list[pb.Holding]:
+def _holding_messages(holdings: places.PlaceAssignments) -> list[pb.Holding]:
     return [
         pb.Holding(
             place=place,
             service=holding.service,
             holder=holding.holder,
-            former=holding.former,
+            former=holding.previous_holder,
         )
         for place, holding in holdings.items()
     ]
@@ -238,9 +238,9 @@
 
 def _holdings_by_place(
     messages: collections.abc.Iterable[pb.Holding],
-) -> dict[str, places.Holding]:
+) -> dict[str, places.PlaceAssignment]:
     return {
-        message.place: places.Holding(
+        message.place: places.PlaceAssignment(
             message.service, message.holder, message.former
         )
         for message in messages
--- a/src/honeyport/control/router_updates.py
+++ b/src/honeyport/control/router_updates.py
@@ -149,7 +149,9 @@
         large = self._large_messages(router_state, hello)
         size = sum(message.ByteSize() for message in large.values())
         now = asyncio.get_running_loop().time()
-        if size <= _MAX_UNPACED_BYTES or self._rate_limit.may_send(size, now):
+        if size <= _MAX_UNPACED_BYTES or self._rate_limit.try_consume(
+            size, now
+        ):
             items += [
                 pb.ControlItem(**{kind: message})
                 for kind, message in large.items()
--- a/src/honeyport/exchange.py
+++ b/src/honeyport/exchange.py
@@ -86,7 +86,7 @@
             for name, value in self.headers
             if name.lower() == 'retry-after'
         )
-        return retry_after.requested_s(
+        return retry_after.requested_backoff_s(
             self.status, next(retry_after_values, '')
         )
 
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -58,7 +58,7 @@
         self._instances_by_service: dict[str, list[placement.Instance]] = {}
         self._running: collections.Counter[str] = collections.Counter()
         self._health = health.Health()
-        self._unreachable: collections.abc.Set[str] = frozenset()
+        self._fleet_unreachable: collections.abc.Set[str] = frozenset()
         self._remote_running: collections.abc.Mapping[str, int] = {}
         self._remote_counted_at = float('-inf')
         self._durations = stale.DurationMeans()
@@ -98,11 +98,13 @@
         """Instances that this gateway recently failed to connect to."""
         return self._health.unreachable(_now())
 
-    def set_unreachable(self, unreachable: collections.abc.Set[str]) -> None:
+    def set_fleet_unreachable(
+        self, unreachable: collections.abc.Set[str]
+    ) -> None:
         """Set the instances that several gateways cannot reach."""
-        self._unreachable = unreachable
+        self._fleet_unreachable = unreachable
 
-    def update(
+    def apply_instances(
         self,
         instances: pb.Instances,
         remote_running: collections.abc.Mapping[str, int],
@@ -256,7 +258,10 @@
                     self._signals.rest_remaining_s(instance.id) > 0
                 ),
             ),
-            ('unreachable', lambda instance: instance.id in self._unreachable),
+            (
+                'unreachable',
+                lambda instance: instance.id in self._fleet_unreachable,
+            ),
             (
                 'failed',
                 lambda instance: self._health.is_paused(instance.id, now),
@@ -274,7 +279,7 @@
         return dict(counts)
 
     @contextlib.contextmanager
-    def track(
+    def count_in_flight(
         self, instance: placement.Instance
     ) -> collections.abc.Iterator[None]:
         """Count a request as in flight on an instance."""
@@ -393,7 +398,7 @@
                 else min(signalled_since, listed_since)
             ),
             is_healthy=self._health.is_healthy(instance.id)
-            and instance.id not in self._unreachable
+            and instance.id not in self._fleet_unreachable
             and not self._signals.rest_remaining_s(instance.id),
         )
 
@@ -405,7 +410,7 @@
         healthy = [
             instance
             for instance in instances
-            if instance.id not in self._unreachable
+            if instance.id not in self._fleet_unreachable
             and not self._health.is_paused(instance.id, now)
         ]
         return self._signals.within_ramp_up(healthy, self._running)
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -187,7 +187,7 @@
         """Apply the fleet state to balancer, connections and limits."""
         self._gate.update()
         now = asyncio.get_running_loop().time()
-        self._lifetime.record_leaving(self._state.draining_routers, now)
+        self._lifetime.record_draining(self._state.draining_routers, now)
         # Before the list, which is read with the cold limits of services.
         if self._state.version != self._version:
             self._version = self._state.version
@@ -196,8 +196,8 @@
         self._balancer.set_gateways(
             [router.router for router in self._state.serving_routers]
         )
-        self._balancer.set_unreachable(self._state.unreachable)
-        usable = self._balancer.update(
+        self._balancer.set_fleet_unreachable(self._state.unreachable)
+        usable = self._balancer.apply_instances(
             self._state.instances,
             self._state.running_elsewhere,
             now - self._state.loads_age_s,
@@ -211,7 +211,7 @@
         self._caller_server.set_limits(bundle.requests)
         self._balancer.set_cold_limits(
             {
-                name: cold.tolerance(
+                name: cold.cold_limit(
                     service.cold_s,
                     service.cold_rate,
                     multiple=self._settings.cold_multiple,
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -209,7 +209,7 @@
             exchange.match.regions,
         )
         instance = exchange.choice.instance
-        with self._balancer.track(instance):
+        with self._balancer.count_in_flight(instance):
             try:
                 answer = await self._send(exchange, instance)
             except errors.HoneyportError as error:
--- a/src/honeyport/gateway/headers.py
+++ b/src/honeyport/gateway/headers.py
@@ -113,7 +113,7 @@
     )
 
 
-def answer_headers(
+def forwarded_response_headers(
     headers: httputil.HTTPHeaders, names: HeaderNames
 ) -> httputil.HTTPHeaders:
     """Return the headers of an instance's answer that are forwarded."""
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -77,7 +77,9 @@
         if leaving.strip().lower() not in _FALSE_VALUES:
             self._start_leaving(instance)
         retry_after_value = head.headers.get('Retry-After', '')
-        asked_s = retry_after.requested_s(head.status, retry_after_value)
+        asked_s = retry_after.requested_backoff_s(
+            head.status, retry_after_value
+        )
         if asked_s is not None:
             self._start_rest(instance, head.status, asked_s)
 
@@ -205,7 +207,7 @@
     def _start_rest(
         self, instance: placement.Instance, status: int, asked_s: float
     ) -> None:
-        rest = self._rests.request(instance.id, asked_s, _now())
+        rest = self._rests.record_backoff(instance.id, asked_s, _now())
         self._metrics.count('rests_asked')
         if rest.is_new:
             logs.emit(
--- a/src/honeyport/gateway/server.py
+++ b/src/honeyport/gateway/server.py
@@ -212,7 +212,7 @@
         self._connection.finish()
 
     def _forwarded_headers(self, head: attempt.Head) -> httputil.HTTPHeaders:
-        return gateway_headers.answer_headers(
+        return gateway_headers.forwarded_response_headers(
             head.headers, self._caller_server.names
         )
 
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -6,7 +6,7 @@
 from honeyport.policy import cold
 from honeyport.policy import placement
 
-Limits = collections.abc.Mapping[str, cold.Tolerance]
+Limits = collections.abc.Mapping[str, cold.ColdLimit]
 
 
 class ColdStartLimiter:
@@ -70,8 +70,8 @@
         """Drop the counts of instances that are no longer listed."""
         self._shares.retain(listed_ids)
 
-    def _limit(self, instance: placement.Instance) -> cold.Tolerance:
-        return self._limits.get(instance.service, cold.Tolerance())
+    def _limit(self, instance: placement.Instance) -> cold.ColdLimit:
+        return self._limits.get(instance.service, cold.ColdLimit())
 
 
 def _now() -> float:
--- a/src/honeyport/platform/listing.py
+++ b/src/honeyport/platform/listing.py
@@ -137,7 +137,7 @@
     if response is None:
         return None
     header = response.headers.get('Retry-After', '')
-    return retry_after.requested_s(response.code, header)
+    return retry_after.requested_backoff_s(response.code, header)
 
 
 def _merge_parts(
@@ -149,11 +149,11 @@
         instances=[
             entry for entry in decoded if isinstance(entry, pb.Instance)
         ],
-        refusals=[
+        refused_entries=[
             entry
             for entry in decoded
             if isinstance(entry, readings.RefusedEntry)
         ],
-        missing='; '.join(missing),
+        missing_reason='; '.join(missing),
         retry_after_s=max((part.retry_after_s for part in parts), default=0.0),
     )
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -68,7 +68,7 @@
     def __init__(self) -> None:
         self._last_draining_at = float('-inf')
 
-    def record_leaving(
+    def record_draining(
         self, leaving: collections.abc.Sized, now: float
     ) -> None:
         """Record the gateways that drain now.
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Tolerance:
+class ColdLimit:
     """The rate limit of a cold instance of one service.
 
     :ivar cold_s: how long it is cold after a start, in seconds
@@ -44,9 +44,9 @@
     max_requests: float = math.inf
 
 
-def tolerance(
+def cold_limit(
     cold_s: float, rate: float, *, multiple: float, extra: float
-) -> Tolerance:
+) -> ColdLimit:
     """Return the rate limit of a service from its settings.
 
     :param cold_s: seconds after a start; 0 if its instances are never cold
@@ -55,8 +55,8 @@
     :param extra: further tolerated requests within one second
     """
     if cold_s <= 0:
-        return Tolerance()
-    return Tolerance(cold_s=cold_s, max_requests=rate * multiple + extra)
+        return ColdLimit()
+    return ColdLimit(cold_s=cold_s, max_requests=rate * multiple + extra)
 
 
 class ColdPeriods:
--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -81,7 +81,7 @@
     ]
 
 
-def max_load(multiple: float, total: int, count: int) -> int:
+def load_bound(multiple: float, total: int, count: int) -> int:
     """Return the maximum load for each of ``count`` candidates.
 
     Consistent hashing with bounded loads (Mirrokni, Thorup and
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -24,7 +24,7 @@
         self._tokens = self._capacity
         self._refilled_at = float('-inf')
 
-    def may_send(self, size: int, now: float) -> bool:
+    def try_consume(self, size: int, now: float) -> bool:
         """Spend the tokens for a message; return whether it may be sent.
 
         A message that is larger than the bucket may be sent when the bucket
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Holding:
+class PlaceAssignment:
     """The holder of a place and its predecessor.
 
     :ivar holder: id of the latest instance that holds or held it
@@ -28,10 +28,10 @@
 
     service: str
     holder: str
-    former: str = ''
+    previous_holder: str = ''
 
 
-Holdings = collections.abc.Mapping[str, Holding]
+PlaceAssignments = collections.abc.Mapping[str, PlaceAssignment]
 
 
 @attrs.frozen
@@ -51,13 +51,13 @@
     :ivar removed: places that no longer exist
     """
 
-    put: dict[str, Holding]
+    updated: dict[str, PlaceAssignment]
     removed: tuple[str, ...]
 
     @property
     def is_empty(self) -> bool:
         """Whether both sets of holdings are equal."""
-        return not self.put and not self.removed
+        return not self.updated and not self.removed
 
 
 class Assigner:
@@ -66,12 +66,12 @@
     :param holdings: the current holdings, by place
     """
 
-    def __init__(self, holdings: Holdings) -> None:
+    def __init__(self, holdings: PlaceAssignments) -> None:
         self._holdings = dict(holdings)
         self._places = {
-            holding.former: place
+            holding.previous_holder: place
             for place, holding in holdings.items()
-            if holding.former
+            if holding.previous_holder
         }
         self._places |= {
             holding.holder: place for place, holding in holdings.items()
@@ -104,7 +104,7 @@
             if instance.id in self._places
         }
 
-    def diff_from(self, before: Holdings) -> Change:
+    def diff_from(self, before: PlaceAssignments) -> Change:
         """Return the change from earlier holdings to the current ones."""
         put = {
             place: holding
@@ -146,7 +146,9 @@
         # Popped so that the dict stays ordered by the time of assignment.
         previous = self._holdings.pop(place, None)
         former = previous.holder if previous else ''
-        self._holdings[place] = Holding(instance.service, instance.id, former)
+        self._holdings[place] = PlaceAssignment(
+            instance.service, instance.id, former
+        )
         self._places[instance.id] = place
 
     def _drop_replaced(self) -> None:
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -84,7 +84,7 @@
         self._exclusions[name] = _Exclusion(now + duration_s, duration_s)
 
 
-class Exclusions:
+class ExclusionTracker:
     """The instances and failure domains that are excluded at present."""
 
     def __init__(self) -> None:
--- a/src/honeyport/policy/readings.py
+++ b/src/honeyport/policy/readings.py
@@ -35,8 +35,8 @@
     """
 
     instances: collections.abc.Sequence[pb.Instance] = ()
-    refusals: collections.abc.Sequence[RefusedEntry] = ()
-    missing: str = ''
+    refused_entries: collections.abc.Sequence[RefusedEntry] = ()
+    missing_reason: str = ''
     retry_after_s: float = 0.0
 
 
@@ -58,8 +58,8 @@
             if duplicate
             else instance
         )
-    if reading.missing:
-        refused_ids = {refusal.id for refusal in reading.refusals}
+    if reading.missing_reason:
+        refused_ids = {refusal.id for refusal in reading.refused_entries}
         for instance_id, instance in known_by_id.items():
             if instance_id not in refused_ids and instance_id not in merged:
                 merged[instance_id] = _copy(instance)
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -57,7 +57,7 @@
         """Whether any instance is in backoff or in slow start."""
         return bool(self._records)
 
-    def request(
+    def record_backoff(
         self, instance: str, requested_s: float, now: float
     ) -> Backoff:
         """Record that an instance requested a backoff.
--- a/src/honeyport/policy/retry_after.py
+++ b/src/honeyport/policy/retry_after.py
@@ -13,17 +13,17 @@
     return status in _REJECTION_STATUSES
 
 
-def requested_s(status: int, text: str) -> float | None:
+def requested_backoff_s(status: int, text: str) -> float | None:
     """Return the backoff that an answer requests, or ``None``.
 
     :param status: of the answer
     :param text: the value of its ``Retry-After`` header, or ``''``
     :returns: in seconds, more than 0
     """
-    return parse_s(text) if is_rejection(status) else None
+    return parse_delay_s(text) if is_rejection(status) else None
 
 
-def parse_s(text: str) -> float | None:
+def parse_delay_s(text: str) -> float | None:
     """Return the delay in a header, or ``None`` if it is invalid or over.
 
     Accepts fractions of seconds as well, which some platforms send. A date is
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -394,7 +394,7 @@
         if pool.service.kind != model.ENGINE:
             return backend_limit
         count = len(self._state.usable(pool))
-        fair_limit = hashing.max_load(
+        fair_limit = hashing.load_bound(
             self._state.bundle.limits.bound,
             self._min_service_load(service),
             count,
@@ -478,7 +478,9 @@
     ) -> None:
         """Send nothing to a backend server for its ``Retry-After`` time."""
         loop = asyncio.get_running_loop()
-        backoff = self._backoffs.request(server.name, requested_s, loop.time())
+        backoff = self._backoffs.record_backoff(
+            server.name, requested_s, loop.time()
+        )
         if backoff.is_new:
             logs.emit(
                 events.REST_ASKED,
