--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps about whole answers while things break."""
+"""Steps about complete answers during failures."""
 
 import asyncio
 import collections
@@ -26,11 +26,13 @@
     'a fleet of {control:d} control replicas, {routers:d} routers and '
     '{engines:d} engines behind relays'
 )
-def step_relayed(context, control, routers, engines):
-    context.run(start_relayed(context.world, control, routers, engines))
+def step_fleet_behind_relays(context, control, routers, engines):
+    context.run(
+        start_fleet_behind_relays(context.world, control, routers, engines)
+    )
 
 
-async def start_relayed(world, control, routers, engines):
+async def start_fleet_behind_relays(world, control, routers, engines):
     """Start a fleet with a relay in front of each engine."""
     for number in range(1, engines + 1):
         name = f'draft-llm-{number}'
@@ -48,17 +50,17 @@
 @behave.when(
     "{count:d} long answers are running and the engines' connections are cut"
 )
-def step_cut(context, count):
+def step_cut_connections(context, count):
     context.run(failure_steps.start_long(context, count, 'router-1'))
     context.run(asyncio.sleep(0.2))
-    dropped = [
-        one.close_connections() for one in context.world.relays.values()
+    closed_counts = [
+        relay.close_connections() for relay in context.world.relays.values()
     ]
-    assert sum(dropped) >= count, dropped
+    assert sum(closed_counts) >= count, closed_counts
 
 
 @behave.then('no answer ran twice')
-def step_not_twice(context):
+def step_no_repetition(context):
     ids = [line['request_id'] for line in context.world.executions_logged()]
     assert len(ids) == len(set(ids)), ids
 
@@ -68,7 +70,7 @@
     'is killed'
 )
 def step_kill_steward(context):
-    context.run(start_far(context))
+    context.run(start_on_remote_engine(context))
     context.run(context.world.kill(context.steward))
 
 
@@ -77,12 +79,12 @@
     'freezes'
 )
 def step_freeze_steward(context):
-    context.run(start_far(context))
+    context.run(start_on_remote_engine(context))
     failure_steps.step_freeze(context, context.steward)
 
 
-async def start_far(context):
-    """Start answers on an engine that another router stewards."""
+async def start_on_remote_engine(context):
+    """Start answers on an engine whose steward is not the entry router."""
     world = context.world
     entry = 'router-1'
     engine, context.steward = next(
@@ -113,8 +115,8 @@
 
 @behave.then('every running answer is whole or visibly incomplete')
 def step_whole_or_cut(context):
-    waiting = asyncio.wait_for(calls.gather(*context.running), 20)
-    context.replies = context.run(waiting)
+    replies = asyncio.wait_for(calls.gather(*context.running), 20)
+    context.replies = context.run(replies)
     for reply in context.replies:
         if reply.is_complete:
             serving_steps.check_written(context, reply)
@@ -130,13 +132,15 @@
 
 
 @behave.then('the incomplete answers end with an error event')
-def step_cut_typed(context):
-    cut = [reply for reply in context.replies if not reply.is_complete]
-    assert cut, 'no answer was cut'
-    for reply in cut:
-        last = reply.body.rstrip().rpartition(b'\n\n')[2]
-        assert last.startswith(b'event: error\ndata: '), reply.body[-400:]
-        error = json.loads(last.partition(b'data: ')[2])['error']
+def step_error_events(context):
+    incomplete = [reply for reply in context.replies if not reply.is_complete]
+    assert incomplete, 'all answers are complete'
+    for reply in incomplete:
+        last_event = reply.body.rstrip().rpartition(b'\n\n')[2]
+        assert last_event.startswith(b'event: error\ndata: '), reply.body[
+            -400:
+        ]
+        error = json.loads(last_event.partition(b'data: ')[2])['error']
         assert error['code'] in ('HP-3009', 'HP-3008'), error
 
 
@@ -144,22 +148,22 @@
     'a caller reads part of an answer at "{first}" and resumes it at '
     '"{second}"'
 )
-def step_go_on(context, first, second):
-    context.run(go_on(context, first, second))
+def step_resume(context, first, second):
+    context.run(resume_elsewhere(context, first, second))
 
 
-async def go_on(context, first, second):
+async def resume_elsewhere(context, first, second):
     world = context.world
     offset = resume.StreamOffset()
     headers = {'X_Request_Id': 'resumed-1', 'Honeyport_Linger': '1'}
     request = calls.chat_request('yard-5', tokens=_TOKENS, **headers)
-    got = b''
+    received = b''
     pool = http.Pool(world.address(first))
     parts = pool.fetch(request)
     async with contextlib.aclosing(parts):
         async for part in parts:
             if isinstance(part, bytes):
-                got += offset.strip_received(part)
+                received += offset.strip_received(part)
             if offset.last_event > 20:
                 break
     offset.begin_resume()
@@ -167,24 +171,24 @@
     request = calls.chat_request('yard-5', tokens=_TOKENS, **headers)
     reply = await calls.send(world.address(second), request)
     assert reply.status == 200, reply
-    before, _, _ = reply.body.rpartition(b': whole bytes=')
-    context.got = got + offset.strip_received(before)
+    answer, _, _ = reply.body.rpartition(b': whole bytes=')
+    context.received = received + offset.strip_received(answer)
 
 
 @behave.then('both parts together are what the engine wrote')
-def step_both(context):
-    written = [
+def step_parts_match(context):
+    digests = [
         line['digest'] for line in context.world.executions_logged('end')
     ]
-    assert hashlib.sha256(context.got).hexdigest() in written
+    assert hashlib.sha256(context.received).hexdigest() in digests
 
 
 @behave.when('a caller disconnects during an answer at "{router}"')
-def step_go_away(context, router):
-    context.run(go_away(context, router))
+def step_disconnect(context, router):
+    context.run(disconnect(context, router))
 
 
-async def go_away(context, router):
+async def disconnect(context, router):
     pool = http.Pool(context.world.address(router))
     parts = pool.fetch(calls.chat_request('yard-6', tokens=_TOKENS))
     async with contextlib.aclosing(parts):
@@ -204,33 +208,35 @@
 
 
 @behave.when('{count:d} different turns are sent at once to every router')
-def step_cross(context, count):
-    context.run(cross(context, count))
+def step_send_to_every_router(context, count):
+    context.run(send_to_every_router(context, count))
 
 
-async def cross(context, count):
+async def send_to_every_router(context, count):
     world = context.world
-    context.sent = []
-    sends = []
+    context.request_ids = []
+    pending = []
     for number in range(count):
         for router in world.routers:
             request_id = f'{router}-{number}'
-            context.sent.append(request_id)
+            context.request_ids.append(request_id)
             request = calls.chat_request(
                 f'x-{number}', X_Request_Id=request_id
             )
-            sends.append(calls.send(world.address(router), request))
-    context.replies = await calls.gather(*sends)
+            pending.append(calls.send(world.address(router), request))
+    context.replies = await calls.gather(*pending)
 
 
 @behave.then('every caller got the answer to its own request')
-def step_own(context):
-    for request_id, reply in zip(context.sent, context.replies, strict=True):
-        ids = set()
+def step_own_answers(context):
+    for request_id, reply in zip(
+        context.request_ids, context.replies, strict=True
+    ):
+        stream_ids = set()
         for line in reply.body.decode().splitlines():
             if line.startswith('data: {'):
-                ids.add(json.loads(line[len('data: ') :])['id'])
-        assert ids == {request_id}, (request_id, ids)
+                stream_ids.add(json.loads(line[len('data: ') :])['id'])
+        assert stream_ids == {request_id}, (request_id, stream_ids)
 
 
 @behave.when(
@@ -238,39 +244,39 @@
     'library while routers restart'
 )
 def step_library(context, chats, filings):
-    context.run(through_library(context, chats, filings))
+    context.run(send_through_library(context, chats, filings))
 
 
-async def through_library(context, chats, filings):
+async def send_through_library(context, chats, filings):
     world = context.world
     caller = client.Client(
         [world.address(name) for name in world.routers], 'district-1'
     )
-    context.chats = []
-    context.problems = []
+    context.chat_bodies = []
+    context.errors = []
 
-    async def one_chat(number):
+    async def send_chat(number):
         body = b''
         messages = [{'role': 'user', 'content': f'yard {number}'}]
         async for part in caller.chat(
             'draft-llm', f'yard-{number}', messages, max_tokens=100
         ):
             body += part
-        context.chats.append(body)
+        context.chat_bodies.append(body)
 
-    async def one_filing(number):
+    async def send_filing(number):
         try:
             await caller.call(
                 'field-app', 'POST', '/reports', str(number).encode()
             )
         except errors.HoneyportError as error:
-            context.problems.append(error)
+            context.errors.append(error)
 
     async with asyncio.TaskGroup() as group:
         for number in range(chats):
-            group.create_task(one_chat(number))
+            group.create_task(send_chat(number))
         for number in range(filings):
-            group.create_task(one_filing(number))
+            group.create_task(send_filing(number))
         for name in ('router-1', 'router-2'):
             await asyncio.sleep(0.4)
             await world.kill(name)
@@ -285,9 +291,9 @@
     digests = collections.Counter(
         line['digest'] for line in context.world.executions_logged('end')
     )
-    for body in context.chats:
-        before, found, _ = body.rpartition(b': whole bytes=')
-        assert found, body[-200:]
-        assert hashlib.sha256(before).hexdigest() in digests
-    for error in context.problems:
+    for body in context.chat_bodies:
+        answer, marker, _ = body.rpartition(b': whole bytes=')
+        assert marker, body[-200:]
+        assert hashlib.sha256(answer).hexdigest() in digests
+    for error in context.errors:
         assert isinstance(error, errors.MayHaveRun), repr(error)
--- a/features/steps/engine_steps.py
+++ b/features/steps/engine_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the load and the coming and going of engines."""
+"""Steps about the load of engines, and engines that join and leave."""
 
 import asyncio
 import json
@@ -15,8 +15,8 @@
 from honeyport.policy import hashing
 
 _BOUND = 1.25
-_LAG_S = 0.4  # reports, the leader's tick and the way back
-_TRANSIT_S = 0.05  # from the steward to the engine's log
+_REPORT_DELAY_S = 0.4  # until a steward knows the total load
+_SEND_DELAY_S = 0.05  # from the steward to the engine's log
 _SURGE_TOKENS = 40
 
 
@@ -24,7 +24,7 @@
     'a fleet of {control:d} control replicas, {routers:d} routers and '
     '{engines:d} engines of {slots:d} slots'
 )
-def step_narrow(context, control, routers, engines, slots):
+def step_fleet_with_slots(context, control, routers, engines, slots):
     world = context.world
     world.accounts['courtyards'] = {'share': 1.0}
     world.limits['queue'] = 200
@@ -37,7 +37,7 @@
 
 @behave.when('{count:d} turns of ten chats are sent over {seconds:d} seconds')
 def step_surge(context, count, seconds):
-    context.run(surge(context, count, seconds))
+    context.run(send_surge(context, count, seconds))
 
 
 @behave.when(
@@ -47,44 +47,44 @@
 def step_surge_kill(context, count, seconds, router):
     async def both():
         async with asyncio.TaskGroup() as group:
-            group.create_task(surge(context, count, seconds))
+            group.create_task(send_surge(context, count, seconds))
             await asyncio.sleep(seconds / 3)
             await context.world.kill(router)
 
     context.run(both())
 
 
-async def surge(context, count, seconds):
-    """Send turns of ten chats, so that hashing alone is uneven."""
+async def send_surge(context, count, seconds):
+    """Send turns of ten chats, so that hashing alone is unbalanced."""
     world = context.world
     generator = random.Random(7)
-    entries = world.routers[:2]
+    entry_routers = world.routers[:2]
 
-    async def one(number):
+    async def send_turn(number):
         await asyncio.sleep(generator.uniform(0, seconds))
         request = calls.chat_request(
             f'few-{number % 10}', tokens=_SURGE_TOKENS
         )
-        address = world.address(entries[number % 2])
+        address = world.address(entry_routers[number % 2])
         return await calls.send(address, request)
 
     context.replies = await calls.gather(
-        *(one(number) for number in range(count))
+        *(send_turn(number) for number in range(count))
     )
 
 
 @behave.then('no engine exceeded its bound when a request started')
 def step_bound(context):
-    over = over_bound(context.world)
+    over = starts_over_bound(context.world)
     assert not over, over[:5]
 
 
-def over_bound(world):
-    """Return the starts at which an engine was over its bound.
+def starts_over_bound(world):
+    """Return the starts at which an engine exceeded its bound.
 
-    The bound is on the mean, which a steward knows a little late: the
-    highest mean of the time that a report takes counts. A steward counts
-    what it has sent; the engine logs it when it starts, a moment later.
+    The bound is relative to the mean load, which a steward knows with a
+    delay: the highest mean during that delay counts. A request counts for
+    the steward once sent, and is logged by the engine shortly after.
     """
     count = len(world.backends)
     lines = sorted(
@@ -103,15 +103,15 @@
         if step > 0:
             starts.append((line['time'], line['instance'], dict(running)))
     over = []
-    for when, name, then in starts:
-        recent = max(
+    for started_at, name, running_then in starts:
+        recent_max = max(
             total
             for at, total in totals
-            if when - _LAG_S <= at <= when + _TRANSIT_S
+            if started_at - _REPORT_DELAY_S <= at <= started_at + _SEND_DELAY_S
         )
-        allowed = math.ceil(_BOUND * max(recent, 1) / count)
-        if then[name] > allowed:
-            over.append((name, then, allowed))
+        allowed = math.ceil(_BOUND * max(recent_max, 1) / count)
+        if running_then[name] > allowed:
+            over.append((name, running_then, allowed))
     return over
 
 
@@ -126,19 +126,19 @@
 
 
 @behave.then('a chat of "{name}" is answered by another engine')
-def step_other(context, name):
-    context.chat = chat_of(context, name)
+def step_another_engine(context, name):
+    context.chat = chat_assigned_to(context, name)
     served = context.run(await_served(context, lambda by: by != name))
     assert served != name
 
 
 @behave.then('the chat is answered by "{name}" again')
-def step_again(context, name):
+def step_same_engine_again(context, name):
     context.run(await_served(context, lambda by: by == name))
 
 
-def chat_of(context, name):
-    """Return a chat whose hash puts it on an engine."""
+def chat_assigned_to(context, name):
+    """Return a chat that the hash assigns to an engine."""
     names = list(context.world.backends)
     return next(
         chat
@@ -147,26 +147,29 @@
     )
 
 
-async def await_served(context, wanted):
-    """Send turns until the engine that serves them is a wanted one."""
+async def await_served(context, is_expected):
+    """Send turns until the engine that serves them meets a condition.
+
+    :param is_expected: the condition on the engine's name
+    """
     world = context.world
 
     async def check():
         request = calls.chat_request(context.chat, Honeyport_Deadline='3')
         reply = await calls.send(world.address('router-1'), request)
         served = reply.headers.get('Honeyport-Placement', '')
-        return served if reply.is_complete and wanted(served) else None
+        return served if reply.is_complete and is_expected(served) else None
 
-    return await world.wait_until(check, 'the chat is served as wanted')
+    return await world.wait_until(check, 'the expected engine serves the chat')
 
 
 @behave.given('a fleet with an instance list that lags {lag:d} ms')
-def step_listed(context, lag):
-    context.run(start_listed(context.world, lag))
+def step_fleet_with_instance_list(context, lag):
+    context.run(start_fleet_with_instance_list(context.world, lag))
 
 
-async def start_listed(world, lag):
-    """Start a fleet whose control reads an instance list."""
+async def start_fleet_with_instance_list(world, lag):
+    """Start a fleet whose control replica reads an instance list."""
     address = local.free_address()
     world.settings['instances'] = {
         'name': 'instances',
@@ -199,28 +202,28 @@
 
 
 @behave.when('a bundle without "{name}" is rolled out')
-def step_without(context, name):
+def step_remove_from_bundle(context, name):
     del context.world.backends[name]
     context.run(context.world.roll_out())
 
 
 @behave.then('"{name}" gets no new work {seconds:d} seconds later')
-def step_no_new(context, name, seconds):
+def step_no_new_work(context, name, seconds):
     context.run(asyncio.sleep(seconds))
-    context.run(many_turns(context))
+    context.run(send_turns_to_leaving(context))
     world = context.world
-    after = [
+    lines = [
         line
         for line in world.executions_logged()
-        if line['time'] > context.began
+        if line['time'] > context.sent_at
     ]
-    assert len(after) == 40, len(after)
-    assert name not in {line['instance'] for line in after}
+    assert len(lines) == 40, len(lines)
+    assert name not in {line['instance'] for line in lines}
 
 
-async def many_turns(context):
+async def send_turns_to_leaving(context):
     world = context.world
-    context.began = time.time()
+    context.sent_at = time.time()
     replies = await calls.gather(
         *(
             calls.send(
@@ -239,33 +242,33 @@
     '"{large}" sends {many:d} turns at once and "{small}" {few:d} a little '
     'later'
 )
-def step_shares(context, large, many, small, few):
-    context.run(shares(context, large, many, small, few))
+def step_two_accounts(context, large, many, small, few):
+    context.run(send_for_two_accounts(context, large, many, small, few))
 
 
-async def shares(context, large, many, small, few):
+async def send_for_two_accounts(context, large, many, small, few):
     world = context.world
     address = world.address('router-1')
 
-    def turn(account, number):
+    def start_turn(account, number):
         request = calls.chat_request(
             f'{account}-{number}', account=account, tokens=20
         )
         return asyncio.ensure_future(calls.send(address, request))
 
-    big = [turn(large, number) for number in range(many)]
+    surge = [start_turn(large, number) for number in range(many)]
     await asyncio.sleep(0.3)
-    little = [turn(small, number) for number in range(few)]
-    context.big = await calls.gather(*big)
-    context.little = await calls.gather(*little)
-    context.replies = context.big + context.little
+    others = [start_turn(small, number) for number in range(few)]
+    context.surge_replies = await calls.gather(*surge)
+    context.other_replies = await calls.gather(*others)
+    context.replies = context.surge_replies + context.other_replies
 
 
 @behave.then('the turns of "{small}" take less than a third of the surge')
-def step_no_longer(context, small):
-    surge_s = max(reply.duration_s for reply in context.big)
-    little_s = max(reply.duration_s for reply in context.little)
-    assert little_s < surge_s / 3, (little_s, surge_s)
+def step_not_delayed(context, small):
+    surge_s = max(reply.duration_s for reply in context.surge_replies)
+    other_s = max(reply.duration_s for reply in context.other_replies)
+    assert other_s < surge_s / 3, (other_s, surge_s)
 
 
 @behave.when(
@@ -300,52 +303,56 @@
 def step_refused_at_once(context, limit):
     refused = [reply for reply in context.replies if reply.status == 429]
     assert refused, context.replies
-    early = [reply for reply in refused if reply.duration_s < limit / 1000]
-    assert len(early) >= len(refused) / 2, [r.duration_s for r in refused]
+    in_time = [reply for reply in refused if reply.duration_s < limit / 1000]
+    assert len(in_time) >= len(refused) / 2, [
+        refusal.duration_s for refusal in refused
+    ]
     for reply in refused:
         assert reply.error['ran'] is False
         assert int(reply.headers['Retry-After']) >= 1
 
 
 @behave.when('{count:d} chats have had a turn on "{name}"')
-def step_warm(context, count, name):
+def step_fill_cache(context, count, name):
     context.chats = [f'warm-{number}' for number in range(count)]
-    context.warm = name
-    replies = context.run(turns_of(context))
+    context.cached_engine = name
+    replies = context.run(send_turns_of_chats(context))
     assert all(
         reply.headers['Honeyport-Placement'] == name for reply in replies
     )
 
 
-async def turns_of(context):
-    """Send a turn of every warm chat, one after another."""
+async def send_turns_of_chats(context):
+    """Send a turn of every cached chat, one after another."""
     world = context.world
-    room = asyncio.Semaphore(1)
+    semaphore = asyncio.Semaphore(1)
 
-    async def one(chat):
-        async with room:
+    async def send_turn(chat):
+        async with semaphore:
             return await calls.send(
                 world.address('router-1'),
-                calls.chat_request(chat, Honeyport_Placement=context.warm),
+                calls.chat_request(
+                    chat, Honeyport_Placement=context.cached_engine
+                ),
             )
 
-    return await calls.gather(*(one(chat) for chat in context.chats))
+    return await calls.gather(*(send_turn(chat) for chat in context.chats))
 
 
 @behave.then('the next turns of these chats hit the caches of other engines')
-def step_elsewhere(context):
+def step_caches_moved(context):
     world = context.world
 
-    def moved():
+    def prefixes_moved():
         return any(
-            line['number'] == 3105 and line['backend'] == context.warm
+            line['number'] == 3105 and line['backend'] == context.cached_engine
             for name in world.routers
             for line in world.log_lines(name)
         )
 
-    context.run(world.wait_until(moved, 'the prefixes are moved', 5))
-    replies = context.run(turns_of(context))
+    context.run(world.wait_until(prefixes_moved, 'the prefixes are moved', 5))
+    replies = context.run(send_turns_of_chats(context))
     hits = [reply.headers['X-Cache'] == 'hit' for reply in replies]
     served = {reply.headers['Honeyport-Placement'] for reply in replies}
-    assert context.warm not in served
+    assert context.cached_engine not in served
     assert sum(hits) >= 0.9 * len(hits), sum(hits)
