--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that kill, freeze, stop and cut, and look at what is left."""
+"""Steps that kill, freeze and stop processes, and check the outcome."""
 
 import asyncio
 import signal
@@ -17,9 +17,9 @@
 
 
 async def start_long(context, count, router):
-    """Start answers that take a while; return once all have begun."""
+    """Start long answers; return once all run on an engine."""
     world = context.world
-    before = len(world.executions_logged())
+    count_before = len(world.executions_logged())
     context.running = [
         asyncio.ensure_future(
             calls.send(
@@ -31,13 +31,13 @@
     ]
     world.tasks += context.running
     await world.wait_until(
-        lambda: len(world.executions_logged()) >= before + count,
+        lambda: len(world.executions_logged()) >= count_before + count,
         'the answers run',
     )
 
 
 @behave.when('"{name}" gets SIGTERM')
-def step_term(context, name):
+def step_terminate(context, name):
     context.world.send_signal(name, signal.SIGTERM)
 
 
@@ -48,28 +48,28 @@
 
 
 @behave.when('"{name}" resumes after {pause:d} ms')
-def step_wake(context, name, pause):
+def step_resume(context, name, pause):
     context.run(asyncio.sleep(pause / 1000))
     context.world.send_signal(name, signal.SIGCONT)
 
 
 @behave.when('all routers get SIGTERM')
-def step_term_all(context):
+def step_terminate_all(context):
     for name in context.world.routers:
         context.world.send_signal(name, signal.SIGTERM)
 
 
 @behave.then('"{name}" ends with code {code:d}')
-def step_ends(context, name, code):
+def step_exit_code(context, name, code):
     assert context.run(context.world.wait_exit(name)) == code
 
 
 @behave.then('all routers end with code {code:d} within {seconds:d} seconds')
-def step_all_end(context, code, seconds):
+def step_all_exit(context, code, seconds):
     world = context.world
     for name in world.routers:
-        waiting = asyncio.wait_for(world.wait_exit(name), seconds)
-        assert context.run(waiting) == code
+        exit_code = asyncio.wait_for(world.wait_exit(name), seconds)
+        assert context.run(exit_code) == code
 
 
 @behave.then('every running answer is whole and is what the engine wrote')
@@ -96,7 +96,7 @@
 
 
 async def engines_serve(world, router):
-    """Whether every engine answers through a router."""
+    """Return whether every engine answers through a router."""
     for name in world.backends:
         request = calls.chat_request(
             'probe', Honeyport_Placement=name, Honeyport_Deadline='3'
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that set a fleet up and look at it as a whole."""
+"""Steps that start a fleet of processes."""
 
 import behave
 
@@ -6,7 +6,7 @@
 
 
 async def wait_until_healthy(world):
-    """Wait until every router serves."""
+    """Wait until every running router is healthy."""
     for name in world.routers:
         if world.processes[name].poll() is not None:
             continue
@@ -16,7 +16,7 @@
 
 
 async def is_healthy(world, name):
-    """Whether a router may take work."""
+    """Return whether a router's health check succeeds."""
     reply = await calls.send(
         world.address(name), calls.get_request('/healthz')
     )
@@ -24,7 +24,10 @@
 
 
 async def start_fleet(world, control, routers, engines, services, **engine):
-    """Start all processes and put the first bundle in force."""
+    """Start all processes and roll out the first bundle.
+
+    :param engine: settings of the engines
+    """
     world.start_control(control)
     for number in range(1, engines + 1):
         world.start_engine(f'draft-llm-{number}', **engine)
@@ -40,7 +43,10 @@
 
 
 async def all_backends_serve(world):
-    """Whether every backend server has a steward that admits work."""
+    """Return whether every backend server has a steward that admits work.
+
+    Then clears the execution log of the requests sent to find out.
+    """
     for name in world.backends:
         service = world.backends[name]['service']
         path = f'/services/{service}/ping'
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers that get served."""
+"""Steps of callers that send requests and check the answers."""
 
 import json
 
@@ -9,30 +9,30 @@
 
 
 def check_written(context, reply):
-    """Check that an answer is whole, and is what an engine wrote."""
+    """Check that an answer is complete and is what an engine wrote."""
     assert reply.status == 200, reply
     assert reply.is_complete, reply.body[-300:]
-    written = [
+    digests = [
         line['digest'] for line in context.world.executions_logged('end')
     ]
-    assert reply.written_digest in written
+    assert reply.written_digest in digests
 
 
 @behave.when('a caller asks for the address of chat "{chat}"')
-def step_ask(context, chat):
+def step_discover(context, chat):
     path = f'/v1/addresses?service=draft-llm&chat={chat}'
     address = context.world.address('router-1')
     reply = context.run(calls.send(address, calls.get_request(path)))
-    found = json.loads(reply.body)
-    assert found['ttl_s'] > 0
+    listing = json.loads(reply.body)
+    assert listing['ttl_s'] > 0
     context.chat = chat
-    context.found = found['addresses'][0]['address']
+    context.address = listing['addresses'][0]['address']
 
 
 @behave.when('the caller sends a chat turn there')
 def step_send_there(context):
     request = calls.chat_request(context.chat)
-    context.replies = [context.run(calls.send(context.found, request))]
+    context.replies = [context.run(calls.send(context.address, request))]
 
 
 @behave.when('a caller sends a turn of chat "{chat}" to every router')
@@ -56,17 +56,19 @@
 @behave.then('it was served without a hop')
 def step_no_hop(context):
     reply = context.run(
-        calls.send(context.found, calls.get_request('/metrics'))
+        calls.send(context.address, calls.get_request('/metrics'))
     )
     lines = reply.body.decode().splitlines()
-    hops = [x for x in lines if x.startswith('honeyport_hops_total')]
-    direct = [x for x in hops if 'kind="none"' in x]
+    hops = [line for line in lines if line.startswith('honeyport_hops_total')]
+    direct = [line for line in hops if 'kind="none"' in line]
     assert direct and float(direct[0].split()[-1]) >= 1, hops
 
 
 @behave.then('all of them came from the same engine')
 def step_same_engine(context):
-    engines = {r.headers['Honeyport-Placement'] for r in context.replies}
+    engines = {
+        reply.headers['Honeyport-Placement'] for reply in context.replies
+    }
     assert len(engines) == 1, engines
 
 
@@ -78,7 +80,7 @@
 
 
 @behave.then('the filing is answered with status {status:d}')
-def step_filed(context, status):
+def step_filing_status(context, status):
     assert context.replies[-1].status == status, context.replies[-1]
 
 
@@ -97,7 +99,7 @@
 
 
 @behave.when('a caller sends a turn that does not stream to "{router}"')
-def step_whole_json(context, router):
+def step_no_streaming(context, router):
     request = calls.chat_request('yard-3', stream=False)
     address = context.world.address(router)
     context.replies = [context.run(calls.send(address, request))]
@@ -112,17 +114,17 @@
 
 
 @behave.when('a caller asks "{router}" for a service that does not exist')
-def step_no_service(context, router):
+def step_unknown_service(context, router):
     send(context, router, calls.chat_request('c', service='no-such'))
 
 
 @behave.when('an unknown client account sends a turn to "{router}"')
-def step_no_account(context, router):
+def step_unknown_account(context, router):
     send(context, router, calls.chat_request('c', account='nobody'))
 
 
 @behave.when('a caller sends "{router}" a body that is not JSON')
-def step_no_json(context, router):
+def step_invalid_json(context, router):
     request = http.Request(
         method='POST', path='/v1/chat/completions', body=b'{'
     )
@@ -137,6 +139,6 @@
 
 
 def send(context, router, request):
-    """Send a request to a router; keep the reply."""
+    """Send a request to a router; store the reply in the context."""
     address = context.world.address(router)
     context.replies = [context.run(calls.send(address, request))]
