--- a/features/steps/control_failure_steps.py
+++ b/features/steps/control_failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps about control replicas that are cut off, damaged or lose disks."""
+"""Steps about control replicas that are isolated or lose data."""
 
 import pathlib
 import shutil
@@ -20,19 +20,19 @@
 
 
 async def start_behind_relays(world):
-    """Start a fleet with a relay on each way between two replicas."""
+    """Start a fleet with a relay for each direction between two replicas."""
     names = [f'control-{number}' for number in (1, 2, 3)]
     world.control = {name: local.free_address() for name in names}
     for number, name in enumerate(names):
-        reach = {}
-        for other in names:
-            if other != name:
-                way = await world.start_relay(
-                    f'{name}>{other}', world.control[other]
+        relay_addresses = {}
+        for peer in names:
+            if peer != name:
+                relay = await world.start_relay(
+                    f'{name}>{peer}', world.control[peer]
                 )
-                reach[other] = way.address
+                relay_addresses[peer] = relay.address
         world.settings[name] = world._control_settings(
-            name, number, reach=reach
+            name, number, reach=relay_addresses
         )
         world.start(name, 'control')
     world.start_service('field-app-1')
@@ -43,16 +43,16 @@
 
 
 @behave.when('the leader is isolated from the other replicas')
-def step_cut(context):
+def step_isolate_leader(context):
     world = context.world
     context.leader = context.run(control.leader(world))
-    for name, way in world.relays.items():
+    for name, relay in world.relays.items():
         if context.leader in name.split('>'):
-            way.cut()
+            relay.cut()
 
 
 @behave.when('a change is submitted to the isolated leader')
-def step_submit_cut(context):
+def step_submit_to_isolated(context):
     world = context.world
     world.limits['queue'] = 77
     path = world.sign(world.bundle(), 'lost')
@@ -70,45 +70,50 @@
         finally:
             await channel.close()
 
-    context.lost = context.run(submit())
+    context.submit_result = context.run(submit())
 
 
 @behave.then('the change gets no receipt')
 def step_no_receipt(context):
-    assert not getattr(context.lost, 'digest', ''), context.lost
+    assert not getattr(context.submit_result, 'digest', ''), (
+        context.submit_result
+    )
 
 
 @behave.when('a change is made through the majority')
-def step_change_other_side(context):
+def step_change_through_majority(context):
     world = context.world
     context.run(control.leader(world, excluded=(context.leader,)))
     context.run(control.submit_change(world))
 
 
 @behave.when('the leader is no longer isolated')
-def step_mend(context):
-    for way in context.world.relays.values():
-        way.heal()
+def step_end_isolation(context):
+    for relay in context.world.relays.values():
+        relay.heal()
 
 
 @behave.then('all replicas hold the same version {version:d}')
 def step_same_version(context, version):
     world = context.world
 
-    async def check():
-        leading = await control.status(
+    async def have_caught_up():
+        leader_status = await control.status(
             world.control[await control.leader(world)]
         )
-        return leading is not None and all(
-            replica.matched >= leading.commit for replica in leading.replicas
+        return leader_status is not None and all(
+            replica.matched >= leader_status.commit
+            for replica in leader_status.replicas
         )
 
-    context.run(world.wait_until(check, 'all replicas have caught up'))
-    answer = context.run(
+    context.run(
+        world.wait_until(have_caught_up, 'all replicas have caught up')
+    )
+    status = context.run(
         control.status(world.control[context.run(control.leader(world))])
     )
-    assert [one.version for one in answer.history] == [1, version]
-    limits = answer.entries['limits']
+    assert [entry.version for entry in status.history] == [1, version]
+    limits = status.entries['limits']
     assert '"queue":77' not in limits, limits
 
 
@@ -120,73 +125,77 @@
 async def lose_disk(context):
     world = context.world
     context.leader = await control.leader(world)
-    context.lost = control.followers(world, context.leader)[0]
-    context.disk = (await control.identify(world.control[context.lost])).disk
-    await world.kill(context.lost)
-    shutil.rmtree(world.settings[context.lost]['data'])
-    world.start(context.lost, 'control')
+    context.follower = control.followers(world, context.leader)[0]
+    context.disk = (
+        await control.identify(world.control[context.follower])
+    ).disk
+    await world.kill(context.follower)
+    shutil.rmtree(world.settings[context.follower]['data'])
+    world.start(context.follower, 'control')
 
 
-def await_vote(context):
+def wait_for_vote(context):
     """Wait until the follower that lost its disk votes again."""
     world = context.world
     context.run(
         world.wait_until(
-            lambda: control.has_caught_up(world, context.lost),
+            lambda: control.has_caught_up(world, context.follower),
             'it votes again',
         )
     )
 
 
 @behave.when('the other follower is killed as soon as the first votes again')
-def step_kill_other(context):
+def step_kill_other_follower(context):
     world = context.world
-    await_vote(context)
-    other = control.followers(world, context.leader)[1]
-    context.run(world.kill(other))
+    wait_for_vote(context)
+    other_follower = control.followers(world, context.leader)[1]
+    context.run(world.kill(other_follower))
 
 
 @behave.then('it logs that it is not admitted')
 def step_not_admitted(context):
     world = context.world
 
-    def check():
-        numbers = [line['number'] for line in world.log_lines(context.lost)]
+    def is_logged():
+        numbers = [
+            line['number'] for line in world.log_lines(context.follower)
+        ]
         return numbers.count(2005) == 1
 
-    context.run(world.wait_until(check, 'it notes that it is not admitted'))
+    context.run(world.wait_until(is_logged, 'it logs that it is not admitted'))
 
 
 @behave.then('it votes again once it has caught up')
 def step_votes_again(context):
     world = context.world
-    await_vote(context)
-    found = context.run(control.identify(world.control[context.lost]))
-    assert found.disk != context.disk
+    wait_for_vote(context)
+    identity = context.run(control.identify(world.control[context.follower]))
+    assert identity.disk != context.disk
 
 
 @behave.when(
     'a record in the log of a follower is damaged and it is started again'
 )
 def step_damage(context):
-    context.run(damage(context))
+    context.run(damage_record(context))
 
 
-async def damage(context):
+async def damage_record(context):
     world = context.world
-    context.lost = control.followers(world, await control.leader(world))[0]
-    await world.kill(context.lost)
-    path = pathlib.Path(world.settings[context.lost]['data']) / 'log'
+    context.follower = control.followers(world, await control.leader(world))[0]
+    await world.kill(context.follower)
+    path = pathlib.Path(world.settings[context.follower]['data']) / 'log'
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 0xFF
     path.write_bytes(data)
-    world.start(context.lost, 'control')
+    world.start(context.follower, 'control')
 
 
 @behave.then('it exits with the error "{code}"')
-def step_typed_end(context, code):
+def step_exit_error(context, code):
     world = context.world
-    assert context.run(world.wait_exit(context.lost)) == 2
-    text = (world.folder / f'{context.lost}.log').read_text()
+    assert context.run(world.wait_exit(context.follower)) == 2
+    text = (world.folder / f'{context.follower}.log').read_text()
     assert code in text
     assert 'Traceback' not in text
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps about changes of the configuration, and who acknowledges them."""
+"""Steps about configuration changes and their acknowledgement."""
 
 import asyncio
 import signal
@@ -37,15 +37,17 @@
 def step_in_force(context, version):
     world = context.world
 
-    async def check():
-        found = await control.versions_in_force(world)
-        return found and set(found.values()) == {version}
+    async def is_in_force():
+        versions = await control.versions_in_force(world)
+        return versions and set(versions.values()) == {version}
 
-    context.run(world.wait_until(check, f'version {version} is in force'))
+    context.run(
+        world.wait_until(is_in_force, f'version {version} is in force')
+    )
 
 
 @behave.then('no router ever went back to a lower version')
-def step_never_back(context):
+def step_no_revert(context):
     for name in context.world.routers:
         applied = [
             line['version']
@@ -56,11 +58,11 @@
 
 
 @behave.when('a change is submitted and the leader is killed at once')
-def step_kill_mid_submit(context):
-    context.run(kill_mid_submit(context))
+def step_kill_during_submit(context):
+    context.run(kill_during_submit(context))
 
 
-async def kill_mid_submit(context):
+async def kill_during_submit(context):
     world = context.world
     name = await control.leader(world)
     world.limits['queue'] = 33
@@ -89,35 +91,37 @@
 
 
 @behave.when('the frozen leader resumes')
-def step_wake(context):
+def step_resume_leader(context):
     context.world.send_signal(context.leader, signal.SIGCONT)
 
 
 @behave.then('the frozen leader has stepped down')
-def step_leads_no_more(context):
+def step_stepped_down(context):
     world = context.world
 
-    async def check():
-        answer = await control.status(world.control[context.leader])
-        return answer is not None and answer.failure.code == 'HP-2003'
+    async def has_stepped_down():
+        reply = await control.status(world.control[context.leader])
+        return reply is not None and reply.failure.code == 'HP-2003'
 
-    context.run(world.wait_until(check, 'it knows that it leads no more'))
+    context.run(
+        world.wait_until(has_stepped_down, 'the leader has stepped down')
+    )
 
 
 @behave.when('two operators submit different bundles as version 2 at once')
-def step_race(context):
+def step_concurrent_submits(context):
     world = context.world
     context.paths = []
     for queue in (41, 42):
         world.limits['queue'] = queue
         path = world.sign(world.bundle(2), f'race-{queue}')
         context.paths.append(path)
-    context.answers = context.run(submit_all(world, context.paths))
+    context.outcomes = context.run(submit_all(world, context.paths))
     world.version = 2
 
 
 async def submit_all(world, paths):
-    """Submit bundles at once; return receipts and errors."""
+    """Submit bundles concurrently; return receipts and errors."""
     return await asyncio.gather(
         *(world.submit(path, wait=False) for path in paths),
         return_exceptions=True,
@@ -125,21 +129,23 @@
 
 
 @behave.then('one of them gets a receipt and the other a conflict "{code}"')
-def step_one_winner(context, code):
-    texts = [str(answer) for answer in context.answers]
+def step_one_receipt(context, code):
+    texts = [str(outcome) for outcome in context.outcomes]
     assert sum('accepted version 2' in text for text in texts) == 1, texts
     assert sum(code in text for text in texts) == 1, texts
 
 
 @behave.when('both submit the same again')
 def step_resend(context):
-    context.again = context.run(submit_all(context.world, context.paths))
+    context.repeated_outcomes = context.run(
+        submit_all(context.world, context.paths)
+    )
 
 
 @behave.then('they get the same answers as before')
 def step_same_answers(context):
-    assert [str(answer) for answer in context.again] == [
-        str(answer) for answer in context.answers
+    assert [str(outcome) for outcome in context.repeated_outcomes] == [
+        str(outcome) for outcome in context.outcomes
     ]
 
 
@@ -152,28 +158,28 @@
 
 
 @behave.when('{count:d} changes are made')
-def step_many(context, count):
+def step_many_changes(context, count):
     context.run(submit_many(context.world, count))
 
 
 async def submit_many(world, count):
-    """Submit many small changes to the leader, one after another."""
+    """Submit many small changes to the leader in sequence."""
     address = world.control[await control.leader(world)]
     channel = channels.connect(address)
     stub = rpc.OperatorStub(channel)
     for _ in range(count):
         world.limits['queue'] = 100 + world.version
         signed = sign_next_bundle(world)
-        answer = await stub.Submit(
+        receipt = await stub.Submit(
             pb.SubmitRequest(signed=signed.to_json()), timeout=5
         )
-        assert answer.digest == signed.digest, answer
+        assert receipt.digest == signed.digest, receipt
         world.version += 1
     await channel.close()
 
 
 def sign_next_bundle(world):
-    """Return the next bundle, signed, without the command line."""
+    """Sign the next bundle in this process and return it."""
     path = world.folder / 'many.yaml'
     path.write_text(yaml.safe_dump(world.bundle()))
     bundle = files.load(path)
@@ -192,24 +198,24 @@
 
 
 @behave.when('a change signed with an unknown key is submitted')
-def step_stranger(context):
+def step_unknown_key(context):
     world = context.world
     signing.write_new_key(str(world.folder / 'stranger'), 'ops')
     bundle = world.folder / 'bundle-next.yaml'
     world.sign(world.bundle(), 'bundle-next')
-    out = world.folder / 'strange.json'
+    signed_path = world.folder / 'strange.json'
     context.run(
         world.run_command(
             'bundle',
             'sign',
             str(bundle),
             str(world.folder / 'stranger' / 'ops.pem'),
-            str(out),
+            str(signed_path),
         )
     )
-    context.answers = context.run(submit_all(world, [str(out)]))
+    context.outcomes = context.run(submit_all(world, [str(signed_path)]))
 
 
 @behave.then('control refuses it with "{code}"')
 def step_refused_by_control(context, code):
-    assert code in str(context.answers[0]), context.answers
+    assert code in str(context.outcomes[0]), context.outcomes
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -20,11 +20,13 @@
     '{engines:d} engines and a weight store'
 )
 def step_weights(context, control, routers, engines):
-    context.run(start(context.world, control, routers, engines))
+    context.run(
+        start_with_weight_store(context.world, control, routers, engines)
+    )
 
 
-async def start(world, control, routers, engines):
-    """Start a fleet whose odd engines check the fencing number."""
+async def start_with_weight_store(world, control, routers, engines):
+    """Start a fleet whose odd-numbered engines check the fencing number."""
     address = local.free_address()
     world.settings['weights'] = {
         'name': 'weights',
@@ -44,66 +46,74 @@
         world.start_router(f'router-{number}')
     await world.roll_out()
     await fleet_steps.wait_until_healthy(world)
-    await await_all(world, lambda s: s['models'] == {'draft': '1'})
+    await wait_for_state(
+        world, lambda state: state['models'] == {'draft': '1'}
+    )
     (world.folder / 'weights.jsonl').write_text('')
 
 
-async def state(world, name):
-    """Return what an engine says it is."""
+async def reported_state(world, name):
+    """Return an engine's reported state, or ``None``."""
     reply = await calls.send(world.address(name), calls.get_request('/orders'))
     return json.loads(reply.body) if reply.status == 200 else None
 
 
-async def await_all(world, check, names=None):
-    """Wait until all engines are as wanted, and load no more."""
+async def wait_for_state(world, check, names=None):
+    """Wait until all engines pass a check and load no weights."""
 
-    async def all_are():
+    async def all_pass():
         for name in names or world.backends:
-            found = await state(world, name)
-            if found is None or found['loading'] or not check(found):
+            engine_state = await reported_state(world, name)
+            if (
+                engine_state is None
+                or engine_state['loading']
+                or not check(engine_state)
+            ):
                 return False
         return True
 
-    await world.wait_until(all_are, 'all engines are as wanted')
+    await world.wait_until(all_pass, 'all engines have the ordered state')
 
 
-def loads(world):
-    """Return the weight store's log."""
+def weight_store_log(world):
+    """Return the lines of the weight store's log."""
     lines = (world.folder / 'weights.jsonl').read_text().splitlines()
     return [json.loads(line) for line in lines]
 
 
 @behave.when('version "{version}" of the model is rolled out')
 def step_roll_version(context, version):
-    context.run(roll_version(context, version))
+    context.run(roll_out_version(context, version))
 
 
-async def roll_version(context, version):
+async def roll_out_version(context, version):
     world = context.world
     world.model['version'] = version
-    rolling = asyncio.ensure_future(world.roll_out())
-    context.turns = []
+    rollout = asyncio.ensure_future(world.roll_out())
+    context.rollout_replies = []
     for number in range(30):
         address = world.address(world.routers[number % len(world.routers)])
-        context.turns.append(
+        context.rollout_replies.append(
             await calls.send(address, calls.chat_request(f'during-{number}'))
         )
-    await rolling
+    await rollout
 
 
 @behave.when(
     'version "{version}" of the model is rolled out and the leader is killed'
 )
 def step_roll_kill(context, version):
-    context.run(roll_kill(context, version))
+    context.run(roll_out_and_kill_leader(context, version))
 
 
-async def roll_kill(context, version):
+async def roll_out_and_kill_leader(context, version):
     world = context.world
     world.model['version'] = version
     name = await control.leader(world)
     await world.roll_out()
-    await world.wait_until(lambda: loads(world), 'the first load begins')
+    await world.wait_until(
+        lambda: weight_store_log(world), 'the first load begins'
+    )
     await world.kill(name)
 
 
@@ -111,7 +121,9 @@
 @behave.then('every engine has version "{version}"')
 def step_has_version(context, version):
     context.run(
-        await_all(context.world, lambda s: s['models'] == {'draft': version})
+        wait_for_state(
+            context.world, lambda state: state['models'] == {'draft': version}
+        )
     )
 
 
@@ -126,31 +138,39 @@
 
 @behave.then('every engine has adapters "{adapters}" and role "{role}"')
 def step_has_adapters(context, adapters, role):
-    wanted = set(adapters.split(', '))
+    expected = set(adapters.split(', '))
     context.run(
-        await_all(
+        wait_for_state(
             context.world,
-            lambda s: set(s['adapters']) == wanted and s['role'] == role,
+            lambda state: (
+                set(state['adapters']) == expected and state['role'] == role
+            ),
         )
     )
 
 
 @behave.then('the weight store never served more than {most:d} loads at once')
-def step_paced(context, most):
-    served = [x['running'] for x in loads(context.world) if 'running' in x]
-    assert served and max(served) <= most, served
+def step_load_limit(context, most):
+    running = [
+        line['running']
+        for line in weight_store_log(context.world)
+        if 'running' in line
+    ]
+    assert running and max(running) <= most, running
 
 
 @behave.then('the weight store refused nothing')
 def step_no_refusal(context):
-    counted = collections.Counter(x['event'] for x in loads(context.world))
-    assert not counted['refused'], counted
+    event_counts = collections.Counter(
+        line['event'] for line in weight_store_log(context.world)
+    )
+    assert not event_counts['refused'], event_counts
 
 
 @behave.then('all turns sent during the rollout were answered')
 def step_turns(context):
-    assert all(reply.is_complete for reply in context.turns), [
-        reply for reply in context.turns if not reply.is_complete
+    assert all(reply.is_complete for reply in context.rollout_replies), [
+        reply for reply in context.rollout_replies if not reply.is_complete
     ][:2]
 
 
@@ -158,10 +178,10 @@
     'a late order for version "{version}" with an old fencing number is sent'
 )
 def step_late_order(context, version):
-    context.run(late_order(context, version))
+    context.run(send_late_order(context, version))
 
 
-async def late_order(context, version):
+async def send_late_order(context, version):
     world = context.world
     order = {
         'fence': 1,
@@ -173,7 +193,7 @@
     request = http.Request(
         method='POST', path='/orders', body=json.dumps(order).encode()
     )
-    context.answers = {
+    context.order_replies = {
         name: await calls.send(world.address(name), request)
         for name in world.backends
     }
@@ -181,35 +201,39 @@
 
 @behave.then('the engines that check the number refuse it')
 def step_refuse(context):
-    for name, reply in context.answers.items():
+    for name, reply in context.order_replies.items():
         checks = context.world.backends[name]['checks_fencing']
         assert reply.status == (409 if checks else 200), (name, reply)
 
 
 @behave.then('the engines that ignore the number return to version "2"')
-def step_put_right(context):
+def step_restored(context):
     world = context.world
-    ignoring = [
+    unchecked = [
         name
         for name, backend in world.backends.items()
         if not backend['checks_fencing']
     ]
     context.run(
-        await_all(world, lambda s: s['models'] == {'draft': '2'}, ignoring)
+        wait_for_state(
+            world, lambda state: state['models'] == {'draft': '2'}, unchecked
+        )
     )
 
 
 @behave.then('the frozen leader resumes and sends no more orders')
-def step_orders_nothing(context):
+def step_no_more_orders(context):
     world = context.world
-    before = len(ordered(world, context.leader))
+    count_before = len(sent_orders(world, context.leader))
     world.send_signal(context.leader, signal.SIGCONT)
-    control_steps.step_leads_no_more(context)
+    control_steps.step_stepped_down(context)
     context.run(asyncio.sleep(0.5))
-    assert len(ordered(world, context.leader)) == before
-    context.run(await_all(world, lambda s: s['models'] == {'draft': '2'}))
+    assert len(sent_orders(world, context.leader)) == count_before
+    context.run(
+        wait_for_state(world, lambda state: state['models'] == {'draft': '2'})
+    )
 
 
-def ordered(world, name):
-    """Return the orders that a replica logged."""
+def sent_orders(world, name):
+    """Return the log lines of orders that a replica sent."""
     return [line for line in world.log_lines(name) if line['number'] == 2301]
