--- a/features/promises/served.feature
+++ b/features/promises/served.feature
@@ -34,9 +34,9 @@
     Then it is refused with "HP-3001" and "not run"
     And nothing ran
 
-  # Guards against a library that asks only the routers it was given.
+  # Guards against a client that asks only its configured routers.
   Scenario: the client library works after its configured routers are gone
-    Given a callers' library that was given "router-1" alone
-    When 6 chats go through the library
-    And "router-1" is gone for good
-    Then 6 new chats through the library are answered whole
+    Given a client library configured with "router-1" alone
+    When 6 chats are sent through the client library
+    And "router-1" is killed and not restarted
+    Then 6 new chats through the client library get whole answers
--- a/features/steps/library_steps.py
+++ b/features/steps/library_steps.py
@@ -9,7 +9,7 @@
 _CHAT_DEADLINE_S = 20.0
 
 
-@behave.given('a callers\' library that was given "{name}" alone')
+@behave.given('a client library configured with "{name}" alone')
 def step_library(context, name):
     address = context.world.address(name)
     context.library = client.Client([address], 'district-1')
@@ -20,17 +20,19 @@
     context.to_stop.append(close)
 
 
-@behave.when('{count:d} chats go through the library')
+@behave.when('{count:d} chats are sent through the client library')
 def step_chats(context, count):
     context.run(_send_chats(context, 'old', count))
 
 
-@behave.when('"{name}" is gone for good')
+@behave.when('"{name}" is killed and not restarted')
 def step_killed(context, name):
     context.run(context.world.kill(name))
 
 
-@behave.then('{count:d} new chats through the library are answered whole')
+@behave.then(
+    '{count:d} new chats through the client library get whole answers'
+)
 def step_new_chats(context, count):
     context.run(_send_chats(context, 'new', count))
 
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -1,4 +1,4 @@
-"""Steps about documents, placement, fair queues and stream offsets."""
+"""Steps for settings files, placement, fair queues and stream offsets."""
 
 import asyncio
 import collections
@@ -124,18 +124,18 @@
     }
 
 
-@behave.when('one engine goes')
+@behave.when('one engine is removed')
 def step_engine_removed(context):
     context.changed = context.engines.pop(7)
 
 
-@behave.when('one engine comes')
+@behave.when('one engine is added')
 def step_engine_added(context):
     context.changed = 'engine-new'
     context.engines.append(context.changed)
 
 
-@behave.then('only its chats have moved, evenly to the others')
+@behave.then('only its chats have moved, evenly to the other engines')
 def step_only_its_chats_moved(context):
     new_engines = _place_chats(context)
     moved = {
@@ -155,7 +155,7 @@
     assert max(moved_to.values()) <= 8, moved_to
 
 
-@behave.then('every chat that moved is on the new one, and it has its share')
+@behave.then('all moved chats are on the new engine, which has an equal share')
 def step_moved_to_new(context):
     new_engines = _place_chats(context)
     moved = {
@@ -223,7 +223,7 @@
     context.run(start_waiting())
 
 
-@behave.when('{count:d} turns are given')
+@behave.when('{count:d} slots are granted')
 def step_turns_given(context, count):
     async def grant():
         for _ in range(count):
@@ -237,13 +237,13 @@
     context.run(grant())
 
 
-@behave.then('"{account}" got {count:d} of them')
+@behave.then('"{account}" is granted {count:d} of them')
 def step_granted(context, account, count):
     grants = collections.Counter(context.granted_accounts)
     assert grants[account] == count, grants
 
 
-@behave.when('the first of them is cancelled as it gets its turn')
+@behave.when('the first of them is cancelled as its slot is granted')
 def step_cancel_granted(context):
     async def cancel():
         context.queue.resolve_next(granted=True)
@@ -255,7 +255,7 @@
     context.run(cancel())
 
 
-@behave.then('the room is given back')
+@behave.then('the slot is returned')
 def step_slot_returned(context):
     assert context.returned_grants == [1], context.returned_grants
     assert len(context.queue) == 0
@@ -294,7 +294,7 @@
         offset.begin_resume()
 
 
-@behave.then('what the caller has is always the whole stream')
+@behave.then('the caller has received every stream whole')
 def step_whole_stream(context):
     for sent, received in context.streams:
         assert received == sent, (received, sent)
