--- a/features/support/crashing.py
+++ b/features/support/crashing.py
@@ -147,13 +147,13 @@
         self._writers.add(writer)
         name = self.name
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            while await self._answer(name, reader, writer):
+            while await self._handle_request(name, reader, writer):
                 pass
         if writer in self._writers:
             self._writers.discard(writer)
             writer.close()
 
-    async def _answer(
+    async def _handle_request(
         self,
         name: str,
         reader: asyncio.StreamReader,
@@ -168,7 +168,9 @@
         body = await reader.readexactly(length)
         request_id = headers['Attempt-Id']
         if headers['Expected-Instance'] != name:
-            writer.write(_answer(request_id, '421 Misdirected Request', b''))
+            writer.write(
+                _encode_response(request_id, '421 Misdirected Request', b'')
+            )
             return True
         crashes = body == FATAL_BODY and not self._group.is_fixed
         if crashes:
@@ -181,11 +183,11 @@
                 task.add_done_callback(self._tasks.discard)
             return False
         self._group.counts.completed_others += 1
-        writer.write(_answer(request_id, '200 OK', b'done'))
+        writer.write(_encode_response(request_id, '200 OK', b'done'))
         return True
 
 
-def _answer(request_id: str, status: str, body: bytes) -> bytes:
+def _encode_response(request_id: str, status: str, body: bytes) -> bytes:
     lines = [
         f'HTTP/1.1 {status}',
         f'Attempt-Id: {request_id}',
