--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -70,7 +70,7 @@
         """In-flight requests of this gateway, by instance id."""
         return self._running
 
-    def set_cold_limits(self, limits: warmth.Limits) -> None:
+    def set_cold_limits(self, limits: warmth.ColdLimits) -> None:
         """Set the limits of cold instances, by service."""
         self._cold_start.set_limits(limits)
 
@@ -373,7 +373,7 @@
             instance
             for instance in cold
             if self._cold_start.may_send(
-                instance, now, is_last=not healthy_warm
+                instance, now, all_cold=not healthy_warm
             )
         ]
         healthy_cold = self._healthy(cold_with_capacity)
--- a/src/honeyport/gateway/warmth.py
+++ b/src/honeyport/gateway/warmth.py
@@ -6,27 +6,27 @@
 from honeyport.policy import cold
 from honeyport.policy import placement
 
-Limits = collections.abc.Mapping[str, cold.ColdLimit]
+ColdLimits = collections.abc.Mapping[str, cold.ColdLimit]
 
 
 class ColdStartLimiter:
-    """Tracks cold instances and this gateway's share of their limits.
+    """Tracks cold instances and this gateway's quotas for them.
 
     :param name: name of this gateway
     """
 
     def __init__(self, name: str) -> None:
-        self._limits: Limits = {}
+        self._limits: ColdLimits = {}
         self._cold_periods = cold.ColdPeriods()
-        self._shares = cold.SendQuotas(name)
+        self._quotas = cold.SendQuotas(name)
 
-    def set_limits(self, limits: Limits) -> None:
+    def set_limits(self, limits: ColdLimits) -> None:
         """Set the limits of cold instances, by service."""
         self._limits = limits
 
     def set_gateways(self, gateways: collections.abc.Collection[str]) -> None:
-        """Set the gateways that share the limits, by name."""
-        self._shares.set_gateways(gateways, _now())
+        """Set the names of the gateways that the limits are divided among."""
+        self._quotas.set_gateways(gateways, _now())
 
     def mark_cold(self, instance: str, cold_s: float) -> None:
         """Treat an instance as cold from now on.
@@ -44,23 +44,23 @@
         return self._cold_periods.is_cold(instance.id, now)
 
     def may_send(
-        self, instance: placement.Instance, now: float, *, is_last: bool
+        self, instance: placement.Instance, now: float, *, all_cold: bool
     ) -> bool:
         """Whether this gateway may send a request to a cold instance.
 
         :param now: loop time
-        :param is_last: whether only cold instances are left
+        :param all_cold: whether all usable instances are cold
         """
         max_requests = self._limit(instance).max_requests
-        return self._shares.may_send(
-            instance.id, max_requests, now, is_last=is_last
+        return self._quotas.may_send(
+            instance.id, max_requests, now, all_cold=all_cold
         )
 
     def record_sent(self, instance: placement.Instance) -> None:
-        """Count a request against the share if its instance is cold."""
+        """Count a request against the quota if its instance is cold."""
         now = _now()
         if self.is_cold(instance, now):
-            self._shares.record_sent(instance.id, now)
+            self._quotas.record_sent(instance.id, now)
 
     def drop_expired(self) -> None:
         """Drop the cold periods that are over."""
@@ -68,7 +68,7 @@
 
     def retain(self, listed_ids: set[str]) -> None:
         """Drop the counts of instances that are no longer listed."""
-        self._shares.retain(listed_ids)
+        self._quotas.retain(listed_ids)
 
     def _limit(self, instance: placement.Instance) -> cold.ColdLimit:
         return self._limits.get(instance.service, cold.ColdLimit())
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -69,13 +69,14 @@
         self._last_draining_at = float('-inf')
 
     def record_draining(
-        self, leaving: collections.abc.Sized, now: float
+        self, draining: collections.abc.Sized, now: float
     ) -> None:
-        """Record the gateways that drain now.
+        """Record whether gateways drain now.
 
+        :param draining: the gateways that drain
         :param now: as loop time, in seconds
         """
-        if leaving:
+        if draining:
             self._last_draining_at = now
 
     def lifetime_s(self, now: float) -> float:
--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -37,20 +37,20 @@
 
 
 def lease_wait_deadline(
-    start_state: StartState, until: float, now: float
+    start_state: StartState, deadline: float, now: float
 ) -> float | None:
     """Return until when a request waits for the first lease.
 
-    :param until: the deadline of the request, as loop time
+    :param deadline: the deadline of the request, as loop time
     :param now: as loop time, in seconds
     :returns: loop time, or ``None`` if it is refused at once
     """
     latest_lease_at = start_state.started + _FIRST_LEASE_MAX_S
     if start_state.has_served or now >= latest_lease_at:
         return None
-    if until <= max(now, start_state.started + _FIRST_LEASE_EXPECTED_S):
+    if deadline <= max(now, start_state.started + _FIRST_LEASE_EXPECTED_S):
         return None
-    return min(latest_lease_at, until - _REFUSAL_MARGIN_S)
+    return min(latest_lease_at, deadline - _REFUSAL_MARGIN_S)
 
 
 def retry_after_s(start_state: StartState, now: float) -> float:
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -21,14 +21,14 @@
 # The window in which the rate limit is measured.
 _WINDOW_S = 1.0
 # Share of the limit that the quotas add up to.
-_USED_SHARE = 0.5
+_QUOTA_SHARE = 0.5
 # The same while all usable instances are cold.
-_USED_SHARE_ALL_COLD = 0.8
+_QUOTA_SHARE_ALL_COLD = 0.8
 # How long gateways count after they were last listed; a new leader lists only
 # some of them at first.
 _REMEMBER_GATEWAY_S = 5.0
 
-Names = collections.abc.Collection[str]
+GatewayNames = collections.abc.Collection[str]
 
 
 @attrs.frozen(kw_only=True)
@@ -80,7 +80,7 @@
         return True
 
     def remaining_s(self, instance: str, now: float) -> float:
-        """Return the rest of an instance's cold period, in seconds."""
+        """Return how long an instance stays cold, in seconds."""
         return max(0.0, self._until.get(instance, now) - now)
 
     def is_cold(self, instance: str, now: float) -> bool:
@@ -95,21 +95,22 @@
 
 
 class SendQuotas:
-    """This gateway's share of the rate limits of cold instances.
+    """This gateway's quotas for requests to cold instances.
 
     :param name: the name of this gateway in the lists of members
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._members: Names = ()
+        self._members: GatewayNames = ()
         self._unlisted_since: dict[str, float] = {}  # loop time
-        self._known: Names = ()  # members and recently unlisted ones
+        # Members and recently unlisted gateways.
+        self._quota_gateways: GatewayNames = ()
         self._ranked_gateways: dict[str, list[str]] = {}  # by instance
         self._sent_at: dict[str, collections.deque[float]] = {}
 
-    def set_gateways(self, members: Names, now: float) -> None:
-        """Set the names of the gateways that share the limits.
+    def set_gateways(self, members: GatewayNames, now: float) -> None:
+        """Set the names of the gateways that the limits are divided among.
 
         :param now: as loop time, in seconds
         """
@@ -120,40 +121,41 @@
         for name in members:
             self._unlisted_since.pop(name, None)
         self._members = members
-        self._known = {*members, *self._unlisted_since}
+        self._quota_gateways = {*members, *self._unlisted_since}
         self._ranked_gateways.clear()
 
     def may_send(
-        self, instance: str, max_requests: float, now: float, *, is_last: bool
+        self, instance: str, max_requests: float, now: float, *, all_cold: bool
     ) -> bool:
         """Whether this gateway may send one more request to an instance.
 
         :param max_requests: the instance's limit for all gateways within
             one second
-        :param is_last: whether all usable instances are cold
+        :param all_cold: whether all usable instances are cold
         """
         if math.isinf(max_requests):
             return True
-        used_limit = int(
-            max_requests * (_USED_SHARE_ALL_COLD if is_last else _USED_SHARE)
+        total_quota = int(
+            max_requests
+            * (_QUOTA_SHARE_ALL_COLD if all_cold else _QUOTA_SHARE)
         )
-        ranked = self._rank(instance, used_limit)
+        ranked = self._rank(instance, total_quota)
         if self._name not in ranked:
             return False
-        own_limit, remainder = divmod(used_limit, len(ranked))
+        own_quota, remainder = divmod(total_quota, len(ranked))
         if ranked.index(self._name) < remainder:
-            own_limit += 1
-        return self._count_recent(instance, now) < own_limit
+            own_quota += 1
+        return self._count_recent(instance, now) < own_quota
 
     def record_sent(self, instance: str, now: float) -> None:
         """Count a request that is sent to a cold instance."""
         self._sent_at.setdefault(instance, collections.deque()).append(now)
 
-    def retain(self, present: collections.abc.Container[str]) -> None:
-        """Drop the instances that are not present."""
+    def retain(self, listed_ids: collections.abc.Container[str]) -> None:
+        """Drop the instances that are not listed."""
         for by_instance in (self._sent_at, self._ranked_gateways):
             for instance in [
-                known for known in by_instance if known not in present
+                known for known in by_instance if known not in listed_ids
             ]:
                 del by_instance[instance]
 
@@ -171,8 +173,10 @@
     def _rank(self, instance: str, limit: int) -> list[str]:
         """Return the gateways that may send to an instance, in order."""
         ranked = self._ranked_gateways.get(instance)
-        if ranked is None or len(ranked) < min(limit, len(self._known)):
-            ranked = hashing.rank(instance, self._known, limit)
+        if ranked is None or len(ranked) < min(
+            limit, len(self._quota_gateways)
+        ):
+            ranked = hashing.rank(instance, self._quota_gateways, limit)
             self._ranked_gateways[instance] = ranked
         return ranked[:limit]
 
--- a/src/honeyport/policy/contacts.py
+++ b/src/honeyport/policy/contacts.py
@@ -15,14 +15,16 @@
 
     :param configured: the addresses in the settings, of control replicas or
         other instances
-    :param own: the control replica in the same process, or ``''``
+    :param local_replica: the control replica in the same process, or ``''``
     """
 
     def __init__(
-        self, configured: collections.abc.Iterable[str], own: str = ''
+        self,
+        configured: collections.abc.Iterable[str],
+        local_replica: str = '',
     ) -> None:
         self._configured = tuple(configured)
-        self._own = (own,) if own else ()
+        self._local_replica = (local_replica,) if local_replica else ()
         self._replicas: tuple[str, ...] = ()
         self._hints: tuple[str, ...] = ()
         self._leader_hint = ''
@@ -31,7 +33,7 @@
     @property
     def replicas(self) -> tuple[str, ...]:
         """The known control replicas, the most reliable ones first."""
-        return _distinct(self._own, self._replicas, self._hints)
+        return _deduplicate(self._local_replica, self._replicas, self._hints)
 
     @property
     def has_leader_hint(self) -> bool:
@@ -58,7 +60,7 @@
         :param leader: the leader to ask next, or ``''``
         """
         self._leader_hint = leader or self._leader_hint
-        hints = _distinct(replicas, self._hints)
+        hints = _deduplicate(replicas, self._hints)
         self._hints = hints[:_MAX_HINTS]
 
     def next_address(self) -> str:
@@ -70,16 +72,18 @@
         leader, self._leader_hint = self._leader_hint, ''
         if leader:
             return leader
-        addresses = _distinct(self.replicas, self._configured)
+        addresses = _deduplicate(self.replicas, self._configured)
         address = addresses[self._next_index % len(addresses)]
         self._next_index += 1
         return address
 
 
-def _distinct(
-    *groups: collections.abc.Iterable[str],
+def _deduplicate(
+    *address_lists: collections.abc.Iterable[str],
 ) -> tuple[str, ...]:
-    """Return the addresses of all groups in order, without duplicates."""
+    """Return the addresses of all lists in order, without duplicates."""
     return tuple(
-        dict.fromkeys(address for group in groups for address in group)
+        dict.fromkeys(
+            address for addresses in address_lists for address in addresses
+        )
     )
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class _Record:
+class _FailureRecord:
     failures: int = 0
     paused_until: float = 0.0
     was_reached: bool = True
@@ -36,7 +36,7 @@
     """The consecutive failures of instances since their last answer."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _FailureRecord] = {}
 
     def record_success(self, instance: str) -> None:
         """Record that an instance answered, which resets its failures."""
@@ -50,7 +50,7 @@
         :param now: as loop time, in seconds
         :param was_reached: whether it accepted the connection
         """
-        record = self._records.setdefault(instance, _Record())
+        record = self._records.setdefault(instance, _FailureRecord())
         pause_s = min(_FIRST_PAUSE_S * 2**record.failures, _MAX_PAUSE_S)
         record.failures += 1
         record.was_reached = was_reached
@@ -68,7 +68,7 @@
         return record is not None and record.paused_until > now
 
     def unreachable(self, now: float) -> list[str]:
-        """Return the instances that recently refused a connection."""
+        """Return the instances that recently failed to accept a connection."""
         return [
             instance
             for instance, record in self._records.items()
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -34,10 +34,10 @@
         :param now: as loop time, in seconds
         """
         if now > self._refilled_at:
-            earned = self._rate * (
+            refilled = self._rate * (
                 now - max(self._refilled_at, now - _BURST_S)
             )
-            self._tokens = min(self._capacity, self._tokens + earned)
+            self._tokens = min(self._capacity, self._tokens + refilled)
             self._refilled_at = now
         if size > self._tokens and self._tokens < self._capacity:
             return False
@@ -46,5 +46,5 @@
 
 
 def for_link(megabits_per_s: float) -> TokenBucket:
-    """Return a full token bucket for a link of this bandwidth."""
+    """Return a full token bucket for a link."""
     return TokenBucket(megabits_per_s * 1e6 / _BITS_PER_BYTE)
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -1,9 +1,9 @@
 """Assign stable hash positions (places) to the instances of a service.
 
-Prefixes are hashed over places instead of instances, and each place is held
-by one instance. A place is named after its first holder. An instance that
-replaces another takes over its place, so that a rolling restart, or a crash
-and a start under a new name, moves no prefixes of the other instances.
+Prefixes are hashed over places instead of instances, and each place is
+assigned to one instance, its holder. A place is named after its first holder.
+A new instance takes over a free place, so that a rolling restart, or a restart
+under a new id, moves no prefixes of the other instances.
 """
 
 import collections.abc
@@ -12,18 +12,18 @@
 
 # How long a new instance waits for a free place before it gets a new one; a
 # replacement may start before the instance that it replaces leaves.
-_INHERIT_WAIT_S = 3.0
+_FREE_PLACE_WAIT_S = 3.0
 # Free places that are kept, as a multiple of the number of instances.
 _FREE_PLACES_PER_INSTANCE = 1.0
 
 
 @attrs.frozen
 class PlaceAssignment:
-    """The holder of a place and its predecessor.
+    """The current and the previous holder of a place.
 
-    :ivar holder: id of the latest instance that holds or held it
-    :ivar former: id of the instance before, which may still be leaving, so
-        that its successor can copy prefixes from it; ``''`` if none
+    :ivar holder: id of the latest instance that the place was assigned to
+    :ivar previous_holder: id of the holder before, which may still be leaving
+        and then serves as a cache source; ``''`` if none
     """
 
     service: str
@@ -45,9 +45,9 @@
 
 @attrs.frozen
 class Change:
-    """The difference between two sets of holdings, by place.
+    """The difference between two sets of assignments, by place.
 
-    :ivar put: holdings that are new or changed
+    :ivar updated: assignments that are new or changed
     :ivar removed: places that no longer exist
     """
 
@@ -56,25 +56,26 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether both sets of holdings are equal."""
+        """Whether both sets of assignments are equal."""
         return not self.updated and not self.removed
 
 
 class Assigner:
     """Assigns places to the instances of all services.
 
-    :param holdings: the current holdings, by place
+    :param assignments: the current assignments, by place
     """
 
-    def __init__(self, holdings: PlaceAssignments) -> None:
-        self._holdings = dict(holdings)
+    def __init__(self, assignments: PlaceAssignments) -> None:
+        self._assignments = dict(assignments)
         self._places = {
-            holding.previous_holder: place
-            for place, holding in holdings.items()
-            if holding.previous_holder
+            assignment.previous_holder: place
+            for place, assignment in assignments.items()
+            if assignment.previous_holder
         }
         self._places |= {
-            holding.holder: place for place, holding in holdings.items()
+            assignment.holder: place
+            for place, assignment in assignments.items()
         }
         self._first_seen: dict[str, float] = {}
 
@@ -83,7 +84,7 @@
     ) -> dict[str, str]:
         """Assign places; return the place of each instance that has one.
 
-        A leaving instance keeps its place while its successor has it as
+        A leaving instance keeps its place while the new holder has it as
         well.
 
         :param now: as loop time, in seconds
@@ -97,7 +98,7 @@
             by_service.setdefault(instance.service, []).append(instance)
         for service, instances in by_service.items():
             self._assign_service(service, instances, now)
-        self._drop_replaced()
+        self._drop_unlisted_holders()
         return {
             instance.id: self._places[instance.id]
             for instance in listed
@@ -105,13 +106,13 @@
         }
 
     def diff_from(self, before: PlaceAssignments) -> Change:
-        """Return the change from earlier holdings to the current ones."""
+        """Return the change from earlier assignments to the current ones."""
         put = {
-            place: holding
-            for place, holding in self._holdings.items()
-            if before.get(place) != holding
+            place: assignment
+            for place, assignment in self._assignments.items()
+            if before.get(place) != assignment
         }
-        return Change(put, tuple(sorted(set(before) - set(self._holdings))))
+        return Change(put, tuple(sorted(set(before) - set(self._assignments))))
 
     def _assign_service(
         self, service: str, instances: list[ListedInstance], now: float
@@ -119,41 +120,47 @@
         """Assign places to the instances of one service that have none."""
         service_places = [
             place
-            for place, holding in self._holdings.items()
-            if holding.service == service
+            for place, assignment in self._assignments.items()
+            if assignment.service == service
         ]
-        held = {
+        assigned_places = {
             self._places.get(instance.id)
             for instance in instances
             if not instance.leaving
         }
-        free = [place for place in service_places if place not in held]
+        free_places = [
+            place for place in service_places if place not in assigned_places
+        ]
         for instance in instances:
             if instance.leaving or instance.id in self._places:
                 continue
-            if free:
-                self._set_holder(free.pop(0), instance)
+            if free_places:
+                self._set_holder(free_places.pop(0), instance)
             elif (
                 not service_places
-                or now - self._first_seen[instance.id] >= _INHERIT_WAIT_S
+                or now - self._first_seen[instance.id] >= _FREE_PLACE_WAIT_S
             ):
                 self._set_holder(instance.id, instance)
-        surplus = len(free) - int(_FREE_PLACES_PER_INSTANCE * len(instances))
-        for place in free[: max(0, surplus)]:
-            del self._holdings[place]
+        surplus = len(free_places) - int(
+            _FREE_PLACES_PER_INSTANCE * len(instances)
+        )
+        for place in free_places[: max(0, surplus)]:
+            del self._assignments[place]
 
     def _set_holder(self, place: str, instance: ListedInstance) -> None:
         # Popped so that the dict stays ordered by the time of assignment.
-        previous = self._holdings.pop(place, None)
-        former = previous.holder if previous else ''
-        self._holdings[place] = PlaceAssignment(
+        replaced_assignment = self._assignments.pop(place, None)
+        former = replaced_assignment.holder if replaced_assignment else ''
+        self._assignments[place] = PlaceAssignment(
             instance.service, instance.id, former
         )
         self._places[instance.id] = place
 
-    def _drop_replaced(self) -> None:
+    def _drop_unlisted_holders(self) -> None:
         """Drop unlisted instances whose places have new holders."""
-        holders = {holding.holder for holding in self._holdings.values()}
+        holders = {
+            assignment.holder for assignment in self._assignments.values()
+        }
         self._places = {
             instance_id: place
             for instance_id, place in self._places.items()
--- a/src/honeyport/policy/prefixes.py
+++ b/src/honeyport/policy/prefixes.py
@@ -35,7 +35,7 @@
 def rank_places(
     parts: Parts, places: collections.abc.Iterable[str]
 ) -> collections.abc.Iterator[str]:
-    """Yield places in the hash order of a prompt, the best one first.
+    """Yield places by descending hash score for a prompt.
 
     :param parts: not empty
     """
@@ -62,8 +62,12 @@
     def add(self, part: str, instance: str) -> None:
         """Record that an instance has read a part."""
         holders = self._holders.pop(part, ())
-        earlier = tuple(holder for holder in holders if holder != instance)
-        self._holders[part] = (instance, *earlier)[:_MAX_HOLDERS_PER_PART]
+        earlier_holders = tuple(
+            holder for holder in holders if holder != instance
+        )
+        self._holders[part] = (instance, *earlier_holders)[
+            :_MAX_HOLDERS_PER_PART
+        ]
         if len(self._holders) > _MAX_PARTS:
             self._holders.popitem(last=False)
 
@@ -75,9 +79,9 @@
         """Drop an instance, whose cache may be lost after a restart."""
         self._drop(lambda holder: holder == instance)
 
-    def retain(self, present: collections.abc.Container[str]) -> None:
-        """Drop the instances that are not present."""
-        self._drop(lambda holder: holder not in present)
+    def retain(self, listed_ids: collections.abc.Container[str]) -> None:
+        """Drop the instances that are not listed."""
+        self._drop(lambda holder: holder not in listed_ids)
 
     def _drop(self, is_dropped: collections.abc.Callable[[str], bool]) -> None:
         for part, holders in list(self._holders.items()):
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -28,7 +28,7 @@
 _LOSS_MIN_INSTANCES_NO_GATEWAY = 5
 _LOSS_MIN_SHARE_NO_GATEWAY = 0.03
 
-Names = collections.abc.Set[str]
+NameSet = collections.abc.Set[str]
 
 
 @attrs.frozen
@@ -41,8 +41,8 @@
     """
 
     domain: str
-    down: Names
-    resting: Names = frozenset()
+    down: NameSet
+    resting: NameSet = frozenset()
 
 
 @attrs.define
@@ -51,57 +51,57 @@
     duration_s: float
 
 
-class _BackoffSet:
+class _ExclusionSet:
     """Names that are excluded for a time that doubles with each repetition."""
 
     def __init__(self) -> None:
-        self._exclusions: dict[str, _Exclusion] = {}
+        self._by_name: dict[str, _Exclusion] = {}
 
     def active(self, now: float) -> set[str]:
         """Return the names that are excluded now."""
         expired = [
             name
-            for name, exclusion in self._exclusions.items()
+            for name, exclusion in self._by_name.items()
             if exclusion.until < now - _SAME_OUTAGE_S
         ]
         for name in expired:
-            del self._exclusions[name]
+            del self._by_name[name]
         return {
             name
-            for name, exclusion in self._exclusions.items()
+            for name, exclusion in self._by_name.items()
             if exclusion.until > now
         }
 
     def add(self, name: str, now: float) -> None:
         """Exclude a name, unless it is excluded already."""
-        exclusion = self._exclusions.get(name)
+        exclusion = self._by_name.get(name)
         if exclusion is None:
             duration_s = _FIRST_EXCLUSION_S
         elif exclusion.until > now:
             return
         else:
             duration_s = min(2 * exclusion.duration_s, _MAX_EXCLUSION_S)
-        self._exclusions[name] = _Exclusion(now + duration_s, duration_s)
+        self._by_name[name] = _Exclusion(now + duration_s, duration_s)
 
 
 class ExclusionTracker:
     """The instances and failure domains that are excluded at present."""
 
     def __init__(self) -> None:
-        self._instances = _BackoffSet()
-        self._domains = _BackoffSet()
+        self._instances = _ExclusionSet()
+        self._domains = _ExclusionSet()
 
     def update(
         self,
         reports: collections.abc.Iterable[GatewayReport],
-        domains: collections.abc.Mapping[str, str],
-        silent_domains: Names,
+        domain_by_instance: collections.abc.Mapping[str, str],
+        silent_domains: NameSet,
         now: float,
     ) -> frozenset[str]:
         """Return the instances to which no gateway is to send requests.
 
         :param reports: of all gateways that currently report
-        :param domains: the failure domain of each instance
+        :param domain_by_instance: the failure domain of each instance
         :param silent_domains: the failure domains that had gateways, none of
             which currently reports
         :param now: as loop time, in seconds
@@ -113,21 +113,23 @@
         unreachable = self._instances.active(now)
         resting = _agreed(reports, lambda report: report.resting)
         for domain in _lost_domains(
-            unreachable, domains, silent_domains, reporting_domains
+            unreachable, domain_by_instance, silent_domains, reporting_domains
         ):
             self._domains.add(domain, now)
         lost_domains = self._domains.active(now) - reporting_domains
         if not lost_domains:
             return frozenset(unreachable | resting)
         in_lost_domains = {
-            name for name, domain in domains.items() if domain in lost_domains
+            name
+            for name, domain in domain_by_instance.items()
+            if domain in lost_domains
         }
         return frozenset(unreachable | resting | in_lost_domains)
 
 
 def _agreed(
     reports: collections.abc.Iterable[GatewayReport],
-    instances_of: collections.abc.Callable[[GatewayReport], Names],
+    instances_of: collections.abc.Callable[[GatewayReport], NameSet],
 ) -> set[str]:
     """Return the instances that gateways of enough domains report.
 
@@ -149,34 +151,35 @@
 
 def _lost_domains(
     unreachable: set[str],
-    domains: collections.abc.Mapping[str, str],
-    silent_domains: Names,
-    reporting_domains: Names,
+    domain_by_instance: collections.abc.Mapping[str, str],
+    silent_domains: NameSet,
+    reporting_domains: NameSet,
 ) -> set[str]:
     """Return the failure domains that are lost as a whole."""
     unreachable_counts = collections.Counter(
-        domains[instance] for instance in unreachable & domains.keys()
+        domain_by_instance[instance]
+        for instance in unreachable & domain_by_instance.keys()
     )
     if not unreachable_counts.keys() - reporting_domains:
         return set()
-    sizes = collections.Counter(domains.values())
+    domain_sizes = collections.Counter(domain_by_instance.values())
     return {
         domain
         for domain, count in unreachable_counts.items()
         if domain not in reporting_domains
         and count
         >= _min_unreachable(
-            sizes[domain], had_no_gateway=domain not in silent_domains
+            domain_sizes[domain], no_known_gateway=domain not in silent_domains
         )
     }
 
 
-def _min_unreachable(size: int, *, had_no_gateway: bool) -> float:
+def _min_unreachable(size: int, *, no_known_gateway: bool) -> float:
     """Return how many unreachable instances show the loss of a domain.
 
     :param size: the number of its instances
     """
-    if not had_no_gateway:
+    if not no_known_gateway:
         return _LOSS_MIN_INSTANCES
     return max(
         _LOSS_MIN_INSTANCES_NO_GATEWAY, _LOSS_MIN_SHARE_NO_GATEWAY * size
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -15,7 +15,7 @@
 _RATIO_SHARE = 0.5
 _EXTRA_SHARE = 1 / 3
 # Assumed number of gateways while it is unknown.
-_UNKNOWN_GATEWAYS = 64
+_ASSUMED_GATEWAYS = 64
 # Buckets of a sliding window; its counts are accurate to one bucket.
 _STEPS_PER_WINDOW = 20
 
@@ -106,7 +106,7 @@
         :param now: as loop time, in seconds
         """
         counts = self._counts(service)
-        gateways = self._gateways() or _UNKNOWN_GATEWAYS
+        gateways = self._gateways() or _ASSUMED_GATEWAYS
         ratio = self._allowance.ratio * _RATIO_SHARE
         max_retries = ratio * counts.requests.total(now)
         max_retries += self._allowance.extra * _EXTRA_SHARE / gateways
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class _Record:
+class _BackoffRecord:
     """A backoff that is in effect, or followed by its slow start.
 
     :ivar started_at: as loop time
@@ -51,7 +51,7 @@
     """
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _BackoffRecord] = {}
 
     def __bool__(self) -> bool:
         """Whether any instance is in backoff or in slow start."""
@@ -71,7 +71,7 @@
         record = self._records.get(instance)
         is_new = record is None or record.until <= now
         if record is None or is_new:
-            self._records[instance] = _Record(now, until)
+            self._records[instance] = _BackoffRecord(now, until)
         else:
             record.until = max(record.until, until)
         return Backoff(requested_s, granted_s, is_new)
@@ -96,7 +96,7 @@
         return record.until <= now and running < record.max_running
 
     def remaining_s(self, instance: str, now: float) -> float:
-        """Return the rest of a backoff, in seconds; 0 if there is none."""
+        """Return the remaining time of a backoff, in seconds; 0 if none."""
         record = self._records.get(instance)
         return 0.0 if record is None else max(0.0, record.until - now)
 
@@ -119,7 +119,7 @@
             if record.until > now
         ]
 
-    def retain(self, present: set[str]) -> None:
-        """Drop the instances that are not present."""
-        for instance in self._records.keys() - present:
+    def retain(self, listed_ids: set[str]) -> None:
+        """Drop the instances that are not listed."""
+        for instance in self._records.keys() - listed_ids:
             del self._records[instance]
--- a/src/honeyport/policy/roster.py
+++ b/src/honeyport/policy/roster.py
@@ -16,18 +16,18 @@
 _RESTART_MAX_S = 60.0
 _LATE_PAUSE_S = 30.0
 # Routers that are disconnected for longer are removed from the stored ones.
-_EXPIRE_MISSING_S = 3600.0
+_EXPIRE_DISCONNECTED_S = 3600.0
 
 Addresses = collections.abc.Mapping[str, str]
 Names = collections.abc.Container[str]
 
 
 @attrs.define
-class _Missing:
+class _DisconnectedRouter:
     """A router without a stream.
 
-    :ivar since: loop time at which it was first missing
-    :ivar due_at: loop time of the next call
+    :ivar since: loop time from which it has been disconnected
+    :ivar due_at: loop time of the next attempt
     :ivar pause_s: the latest pause, in seconds
     """
 
@@ -35,8 +35,8 @@
     due_at: float
     pause_s: float = _FIRST_PAUSE_S
 
-    def postpone(self, now: float) -> None:
-        """Schedule the next call after a call at this time."""
+    def schedule_next(self, now: float) -> None:
+        """Schedule the next attempt after an attempt at this time."""
         self.pause_s = min(2 * self.pause_s, _MAX_PAUSE_S)
         if now - self.since > _RESTART_MAX_S:
             self.pause_s = _LATE_PAUSE_S
@@ -44,46 +44,47 @@
 
 
 class ReconnectSchedule:
-    """The missing routers of one leader's term and their next calls."""
+    """The routers without a stream, and the next attempts to reach them."""
 
     def __init__(self) -> None:
-        self._missing: dict[str, _Missing] = {}
+        self._disconnected: dict[str, _DisconnectedRouter] = {}
 
     def expired(self, known: Addresses, now: float) -> list[str]:
-        """Return the names of routers that have been missing for too long.
+        """Return the names of routers to remove from the stored ones.
 
         :param known: the stored routers, by name
         :param now: as loop time, in seconds
         """
         return [
             name
-            for name, missing in self._missing.items()
-            if name in known and now - missing.since > _EXPIRE_MISSING_S
+            for name, disconnected in self._disconnected.items()
+            if name in known
+            and now - disconnected.since > _EXPIRE_DISCONNECTED_S
         ]
 
     def due(
         self, known: Addresses, connected: Names, now: float, limit: int
     ) -> list[str]:
-        """Return the names of the routers to call now.
+        """Return the names of the routers to connect to now.
 
         :param known: the stored routers, by name
         :param connected: those that have a stream
         :param now: as loop time, in seconds
-        :param limit: the maximum number of calls; others are due later
+        :param limit: the maximum number of attempts; others are due later
         """
-        for name in list(self._missing):
+        for name in list(self._disconnected):
             if name in connected or name not in known:
-                del self._missing[name]
+                del self._disconnected[name]
         due = []
         for name in known:
             if name in connected:
                 continue
-            missing = self._missing.setdefault(
-                name, _Missing(now, now + _FIRST_PAUSE_S)
+            disconnected = self._disconnected.setdefault(
+                name, _DisconnectedRouter(now, now + _FIRST_PAUSE_S)
             )
-            if missing.due_at <= now:
-                due.append((missing.due_at, name))
-        called = [name for _, name in sorted(due)[:limit]]
-        for name in called:
-            self._missing[name].postpone(now)
-        return called
+            if disconnected.due_at <= now:
+                due.append((disconnected.due_at, name))
+        selected = [name for _, name in sorted(due)[:limit]]
+        for name in selected:
+            self._disconnected[name].schedule_next(now)
+        return selected
--- a/src/honeyport/policy/stale.py
+++ b/src/honeyport/policy/stale.py
@@ -24,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadCounts:
-    """The numbers of running requests by instance, as a gateway knows them.
+    """The numbers of running requests by instance, known to one gateway.
 
     :ivar own: returns the requests from this gateway on an instance
     :ivar others: returns the requests from all other gateways, outdated
@@ -37,9 +37,9 @@
     age_s: float
     mean_duration_s: float
 
-    def total(self, name: str) -> int:
+    def total(self, instance: str) -> int:
         """Return the requests on an instance, without correction for age."""
-        return self.own(name) + self.others(name)
+        return self.own(instance) + self.others(instance)
 
 
 class DurationMeans:
@@ -61,7 +61,7 @@
 
 
 def weights(
-    names: collections.abc.Sequence[str], counts: LoadCounts
+    instance_ids: collections.abc.Sequence[str], counts: LoadCounts
 ) -> list[float]:
     """Return the weight of each instance for the next request.
 
@@ -69,28 +69,32 @@
     many have arrived in their place at the least loaded instances (water
     filling). The weight of an instance is its estimated number of arrivals.
 
-    :param names: the instances to choose from, not empty
+    :param instance_ids: the instances to choose from, not empty
     :returns: weights that are not all 0
     """
-    still_running = math.exp(-counts.age_s / max(counts.mean_duration_s, 1e-3))
+    running_share = math.exp(-counts.age_s / max(counts.mean_duration_s, 1e-3))
     loads = [
-        counts.own(name) + counts.others(name) * still_running
-        for name in names
+        counts.own(instance) + counts.others(instance) * running_share
+        for instance in instance_ids
     ]
-    arrivals = sum(counts.others(name) for name in names) * (1 - still_running)
-    level = _fill_level(sorted(loads), arrivals)
-    capacities = [max(0.0, level - load) for load in loads]
-    if any(capacities):
-        return capacities
+    arrivals = sum(counts.others(instance) for instance in instance_ids) * (
+        1 - running_share
+    )
+    fill_level = _fill_level(sorted(loads), arrivals)
+    estimated_arrivals = [max(0.0, fill_level - load) for load in loads]
+    if any(estimated_arrivals):
+        return estimated_arrivals
     return [float(load == min(loads)) for load in loads]
 
 
-def choose(names: collections.abc.Sequence[str], counts: LoadCounts) -> str:
+def choose(
+    instance_ids: collections.abc.Sequence[str], counts: LoadCounts
+) -> str:
     """Return a random instance, by the weights for the next request.
 
-    :param names: the instances to choose from, not empty
+    :param instance_ids: the instances to choose from, not empty
     """
-    return random.choices(names, weights(names, counts))[0]
+    return random.choices(instance_ids, weights(instance_ids, counts))[0]
 
 
 def _fill_level(loads: list[float], arrivals: float) -> float:
@@ -102,7 +106,7 @@
     filled = arrivals
     for count, load in enumerate(loads, 1):
         filled += load
-        level = filled / count
-        if count == len(loads) or level <= loads[count]:
-            return level
+        fill_level = filled / count
+        if count == len(loads) or fill_level <= loads[count]:
+            return fill_level
     raise ValueError('no instances')
--- a/src/honeyport/policy/suspicion.py
+++ b/src/honeyport/policy/suspicion.py
@@ -164,7 +164,7 @@
     ) -> PermitDecision:
         """Decide whether a gateway may send a request now.
 
-        :param holder: the gateway that asks, and releases the permit
+        :param holder: the gateway that requests the permit
         :param is_active: whether a holder may still be running the request
         """
         record = self._records.get(request)
