--- a/features/gateway/allowed.feature
+++ b/features/gateway/allowed.feature
@@ -1,20 +1,20 @@
 Feature: Requests run only as the configuration in force allows
 
-  Scenario: without a lease nothing is sent
+  Scenario: without a lease no request is sent
     Given a gateway for idempotent requests whose instances answer
     When its lease ends
     And a caller sends a request
     Then it gets 503, and 0 requests arrived
     And it has a Retry-After
-    And it is told to reconnect elsewhere at once
+    And its answer closes the connection and allows a retry at once
 
-  Scenario: a caller that comes before the first lease waits for it
+  Scenario: a request that arrives before the first lease waits for it
     Given a gateway that has just started
     When a caller with a deadline of 2000 ms sends a request, and the lease comes after 250 ms
     Then it gets 200, and 1 requests arrived
     And it is answered within 400 ms
 
-  Scenario: a caller that cannot wait for the first lease is refused at once
+  Scenario: a request whose deadline is too short to wait for the first lease is refused at once
     Given a gateway that has just started
     When a caller with a deadline of 300 ms sends a request, and the lease comes after 250 ms
     Then it gets 503, and 0 requests arrived
@@ -63,7 +63,7 @@
     And a caller sends 5 requests on one connection
     Then only i-3 got requests
 
-  Scenario: prompts stay where their shared part is cached
+  Scenario: prompts go to the instance that cached their shared part
     Given 12 instances and prompts with 92 subjects
-    Then losing an instance moves only the subjects it had
-    And no instance exceeds its load bound under a hot subject
+    Then removing an instance moves only its subjects
+    And no instance exceeds its load bound when one subject dominates
--- a/features/gateway/budget.feature
+++ b/features/gateway/budget.feature
@@ -31,5 +31,5 @@
 
   Scenario: random failures and restarts
     Given 10 gateways and a retry budget of 0.2 per request plus 60
-    When random loads with failures and restarts are played 20 times
+    When 20 random loads with failures and restarts are simulated
     Then no budget window has more retries than allowed
--- a/features/gateway/rests.feature
+++ b/features/gateway/rests.feature
@@ -1,22 +1,22 @@
-Feature: An instance that asks for rest gets no requests meanwhile
+Feature: An instance in backoff gets no requests
 
-  # Rejections by resting instances would use up the retry budget and leave
+  # Rejections by instances in backoff would use up the retry budget and leave
   # callers refused while other instances are idle.
-  Scenario: two of four instances ask for rest
+  Scenario: two of four instances request a backoff
     Given a gateway with 4 instances and a retry budget of 6
-    And the instances i-1 and i-2 rest for 4 s
+    And the instances i-1 and i-2 request a backoff of 4 s
     When 25 requests a second reach the gateway for 3 seconds
-    Then each of 2 rests of 4 s is logged once
-    And each request that reached a resting instance is logged
-    And no request reaches a resting instance
+    Then each of 2 backoffs of 4 s is logged once
+    And each request that reached an instance in backoff is logged
+    And no request reaches an instance in backoff
     And all callers were served
 
-  Scenario: all instances of a service ask for rest
+  Scenario: all instances of a service request a backoff
     Given a gateway with 4 instances and a retry budget of 6
-    And all instances rest for 4 s
+    And all instances request a backoff of 4 s
     When 25 requests a second reach the gateway for 3 seconds
-    Then no request reaches a resting instance
-    And refused callers get the end of the rest as retry time within 50 ms
+    Then no request reaches an instance in backoff
+    And refused callers get the end of the backoff as retry time within 50 ms
 
   Scenario: an instance announces that it leaves while it is listed as ready
     Given a gateway with 4 instances and a retry budget of 6
@@ -29,25 +29,25 @@
     Given a gateway with 4 instances and a retry budget of 6
     And the instances i-1 and i-2 answer 429 with a Retry-After of 4 s
     When 25 requests a second reach the gateway for 2 seconds
-    Then no request reaches a resting instance
+    Then no request reaches an instance in backoff
     And all callers were served
 
-  Scenario: a new list and a new configuration do not end a rest
+  Scenario: a new list and a new configuration do not end a backoff
     Given a gateway with 4 instances and a retry budget of 6
-    And the instances i-1 and i-2 rest for 5 s
+    And the instances i-1 and i-2 request a backoff of 5 s
     When 25 requests a second reach the gateway for 1 seconds
     And a new list of instances and a new configuration arrive
     And 25 requests a second reach the gateway for 2 seconds
-    Then no request reaches a resting instance
+    Then no request reaches an instance in backoff
     And all callers were served
 
-  Scenario: requests wait for a connection to an instance that asks for rest
+  Scenario: requests wait for a connection to an instance that requests a backoff
     Given a gateway with 1 instances and a retry budget of 6
-    And the instances i-1 rest for 4 s
-    When 8 requests wait 200 ms for a connection, and one before them does not
+    And the instances i-1 request a backoff of 4 s
+    When 8 requests wait 200 ms for a connection, and one more does not
     Then 1 request has reached an instance
 
-  Scenario Outline: an instance may announce in any answer that it leaves
+  Scenario Outline: any answer may announce that its instance leaves
     Given a gateway with 4 instances and a retry budget of 6
     And the instances i-1 and i-2 announce that they leave and <answer>
     When 25 requests a second reach the gateway for 2 seconds
@@ -68,10 +68,10 @@
     Then no request reaches an instance 2 seconds after it announced that it leaves
     And all callers of the first 900 ms were served
 
-  Scenario: a gateway reports which instances asked it for rest
+  Scenario: a gateway reports which instances requested a backoff
     Given a gateway with 4 instances and a retry budget of 6
-    And the instances i-1 and i-2 rest for 2 s
+    And the instances i-1 and i-2 request a backoff of 2 s
     When 25 requests a second reach the gateway for 1 seconds
-    Then its reports name i-1 and i-2 as resting
+    Then its reports name i-1 and i-2 as in backoff
     When 3 seconds pass at the gateway
-    Then its reports name nothing as resting
+    Then its reports name nothing as in backoff
--- a/features/policy/addresses.feature
+++ b/features/policy/addresses.feature
@@ -1,8 +1,8 @@
 Feature: The content and the lifetime of the address lists of callers
 
-  Scenario: some gateways are cut off for a while
+  Scenario: some gateways are unreachable for 12 seconds
     Given 10 gateways and 100 callers that send 2 requests a second each
-    When 4 gateways are dead from second 5 to second 17
+    When 4 gateways are unreachable from second 5 to second 17
     Then callers wait at least 10% less than with a list lifetime of 1 s
 
   Scenario: a rolling restart of the gateways
--- a/features/steps/address_steps.py
+++ b/features/steps/address_steps.py
@@ -20,7 +20,8 @@
 
 
 @behave.when(
-    '{count:d} gateways are dead from second {first:d} to second {last:d}'
+    '{count:d} gateways are unreachable from second {first:d} to second '
+    '{last:d}'
 )
 def step_dead(context, count, first, last):
     for gateway in context.gateways[:count]:
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -60,9 +60,7 @@
     )
 
 
-@behave.when(
-    'random loads with failures and restarts are played {count:d} times'
-)
+@behave.when('{count:d} random loads with failures and restarts are simulated')
 def step_random(context, count):
     context.over = []
     for seed in range(count):
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -22,7 +22,7 @@
     ]
 
 
-@behave.then('losing an instance moves only the subjects it had')
+@behave.then('removing an instance moves only its subjects')
 def step_moves(context):
     lost = context.places[0]
     for parts in context.prompts:
@@ -31,7 +31,7 @@
         assert after == before or before == lost, (before, after)
 
 
-@behave.then('no instance exceeds its load bound under a hot subject')
+@behave.then('no instance exceeds its load bound when one subject dominates')
 def step_bound(context):
     async def place():
         balancer = choices.make_balancer('g-1', 'thu-duc', {})
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -117,7 +117,7 @@
     context.fleets = [Fleet(gateways, instances, count) for _ in _SEEDS]
 
 
-@behave.given('half of the gateways know only each other')
+@behave.given('half of the gateways know only the gateways of that half')
 def step_split(context):
     for fleet in context.fleets:
         half = len(fleet.names) // 2
@@ -125,7 +125,9 @@
             fleet.known_gateways[name] = fleet.names[:half]
 
 
-@behave.given('each gateway was just told of {count:d} others in place of all')
+@behave.given(
+    'each gateway has just received a list with only {count:d} others'
+)
 def step_few(context, count):
     for fleet in context.fleets:
         fleet.known_before = dict(fleet.known_gateways)
@@ -135,8 +137,8 @@
 
 
 @behave.when(
-    '{per_s:d} requests a second come for {seconds:d} seconds, '
-    '{hot:d} of them with its prefix'
+    '{per_s:d} requests a second arrive for {seconds:d} seconds, '
+    '{hot:d} of them with the hot prefix'
 )
 def step_play(context, per_s, seconds, hot):
     for fleet, seed in zip(context.fleets, _SEEDS, strict=True):
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -296,8 +296,8 @@
     assert float(context.response.headers['Retry-After']) > 0, context.response
 
 
-@behave.then('it is told to reconnect elsewhere at once')
-def step_reconnect_elsewhere(context):
+@behave.then('its answer closes the connection and allows a retry at once')
+def step_retry_at_once(context):
     assert float(context.response.headers['Retry-After']) < 0.1, (
         context.response
     )
--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -95,13 +95,13 @@
     context.run(replace())
 
 
-@behave.when('it is gone')
-def step_gone(context):
-    async def go():
+@behave.when('it is no longer listed')
+def step_no_longer_listed(context):
+    async def remove():
         del context.fixture.listed[context.fixture.first.id]
         context.fixture.apply_list()
 
-    context.run(go())
+    context.run(remove())
 
 
 @behave.when('it fails')
@@ -144,7 +144,10 @@
     )
 
 
-@behave.then('the next prompt of the subject goes there, and copies nothing')
+@behave.then(
+    'the next prompt of the subject goes to the same instance, and copies '
+    'nothing'
+)
 def step_same_instance(context):
     choice = next_choice(context)
     assert choice.instance == context.fixture.first
@@ -152,7 +155,8 @@
 
 
 @behave.then(
-    'the next prompt of the subject goes to another, and copies from the third'
+    'the next prompt of the subject goes to another instance, and copies from '
+    'the third'
 )
 def step_other_instance(context):
     choice = next_choice(context)
@@ -163,13 +167,13 @@
 
 
 @behave.then(
-    'the next prompt of the subject goes to {name}, and copies from the one '
-    'that leaves'
+    'the next prompt of the subject goes to {name}, and copies from the '
+    'leaving one'
 )
 def step_copies(context, name):
     choice = next_choice(context)
     assert choice.instance.id != context.fixture.first.id
-    assert name == 'another' or choice.instance.id == name
+    assert name == 'another instance' or choice.instance.id == name
     assert choice.source.id == context.fixture.first.id
 
 
@@ -218,8 +222,8 @@
 
 
 @behave.then(
-    'the next prompt of the subject goes there again, and copies from its '
-    'second choice'
+    'the next prompt of the subject goes to the same instance, and copies from '
+    'its second choice'
 )
 def step_same_instance_copies(context):
     async def check():
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -1,4 +1,4 @@
-"""Steps for rests and departures of instances, observed at instances."""
+"""Steps for backoffs and departures of instances, observed at instances."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from features.support import log_capture
 from honeyport.wire import honeyport_pb2 as pb
 
-# Requests in flight when an instance asks for rest may arrive this much later.
+# Requests in flight when an instance requests a backoff may arrive this much later.
 _IN_FLIGHT_S = 0.5
 # Ratio of the fleet's retry budget to the share of one gateway that does not
 # know the number of gateways.
@@ -46,12 +46,12 @@
     context.to_stop.append(context.fixture.stop)
 
 
-@behave.given('the instances {names} rest for {text} s')
+@behave.given('the instances {names} request a backoff of {text} s')
 def step_some_rest(context, names, text):
     _set_step(context, names.split(' and '), f'rest for {text}')
 
 
-@behave.given('all instances rest for {text} s')
+@behave.given('all instances request a backoff of {text} s')
 def step_all_rest(context, text):
     _set_step(context, _instance_names(context), f'rest for {text}')
 
@@ -89,8 +89,7 @@
 
 
 @behave.when(
-    '{count:d} requests wait {ms:d} ms for a connection, and one before them '
-    'does not'
+    '{count:d} requests wait {ms:d} ms for a connection, and one more does not'
 )
 def step_wait(context, count, ms):
     context.run(_send_delayed(context, count, ms / 1000))
@@ -124,7 +123,7 @@
     ), early_responses
 
 
-@behave.then('each of {count:d} rests of {s:g} s is logged once')
+@behave.then('each of {count:d} backoffs of {s:g} s is logged once')
 def step_logged(context, count, s):
     rests = [
         (fields['backend'], fields['asked_s'], fields['rest_s'])
@@ -137,7 +136,7 @@
     }, rests
 
 
-@behave.then('each request that reached a resting instance is logged')
+@behave.then('each request that reached an instance in backoff is logged')
 def step_late_requests_logged(context):
     logged = [
         event_fields
@@ -150,7 +149,7 @@
         assert {'backend', 'rested_s'} <= fields.keys(), fields
 
 
-@behave.then('no request reaches a resting instance')
+@behave.then('no request reaches an instance in backoff')
 def step_none_while_resting(context):
     late = _late_arrivals(context, _asked_rest_s, _IN_FLIGHT_S)
     assert not late, (len(late), late[:5])
@@ -175,7 +174,7 @@
 
 
 @behave.then(
-    'refused callers get the end of the rest as retry time within '
+    'refused callers get the end of the backoff as retry time within '
     '{most_ms:d} ms'
 )
 def step_refused_with_rest_end(context, most_ms):
@@ -196,7 +195,7 @@
 
 
 def _first_rest_end(context, before):
-    """Return the end of the first rest that was announced before a time."""
+    """Return the end of the first backoff requested before a time."""
     rest_end_by_instance = {}
     for arrival in context.fixture.script.arrivals:
         if _asked_rest_s(arrival) and 0 < arrival.answered_at < before:
@@ -212,7 +211,7 @@
     context.run(asyncio.sleep(seconds))
 
 
-@behave.then('its reports name {names} as resting')
+@behave.then('its reports name {names} as in backoff')
 def step_reported_resting(context, names):
     expected = [] if names == 'nothing' else names.split(' and ')
     report = pb.Report()
@@ -237,7 +236,7 @@
 
 
 def _asked_rest_s(arrival):
-    """Return the rest that was asked for in an answer, in seconds, or 0."""
+    """Return the backoff that an answer requested, in seconds, or 0."""
     return _rest_s(arrival) if ' for ' in arrival.step else 0.0
 
 
@@ -246,7 +245,7 @@
 
 
 def _late_arrivals(context, duration_of, grace_s):
-    """Return requests that arrived during a rest or after a departure.
+    """Return requests that arrived in a backoff or after a departure.
 
     :param duration_of: returns how long the signal of an arrival's answer
         is in effect, in seconds
