--- a/features/steps/prefix_steps.py
+++ b/features/steps/prefix_steps.py
@@ -222,8 +222,8 @@
 
 
 @behave.then(
-    'the next prompt of the subject goes to the same instance, and copies from '
-    'its second choice'
+    'the next prompt of the subject goes to the same instance, and copies '
+    'from its second choice'
 )
 def step_same_instance_copies(context):
     async def check():
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -12,7 +12,7 @@
 from features.support import log_capture
 from honeyport.wire import honeyport_pb2 as pb
 
-# Requests in flight when an instance requests a backoff may arrive this much later.
+# Requests in flight when a backoff is requested may arrive this much later.
 _IN_FLIGHT_S = 0.5
 # Ratio of the fleet's retry budget to the share of one gateway that does not
 # know the number of gateways.
