--- a/bench/rests.py
+++ b/bench/rests.py
@@ -76,7 +76,7 @@
     in_backoff: int = 0
 
 
-_VARIANTS = (Variant('per gateway', False), Variant('shared by all', True))
+_VARIANTS = (Variant('each gateway', False), Variant('all gateways', True))
 _LOADS = (
     Load(gateways=9, instances=6, overloaded=2, per_s=90),
     Load(gateways=9, instances=6, overloaded=5, per_s=90),
