--- a/features/steps/filing_steps.py
+++ b/features/steps/filing_steps.py
@@ -60,7 +60,8 @@
     await world.roll_out()
     await fleet_steps.wait_until_healthy(world)
     await world.wait_until(
-        lambda: fleet_steps.all_backends_serve(world), 'all is settled'
+        lambda: fleet_steps.all_backends_serve(world),
+        'every backend server has a steward',
     )
 
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -38,7 +38,7 @@
     await world.roll_out()
     await wait_until_healthy(world)
     await world.wait_until(
-        lambda: all_backends_serve(world), 'every engine has a steward'
+        lambda: all_backends_serve(world), 'every backend server has a steward'
     )
 
 
