--- a/src/honeyport/bundle/entries.py
+++ b/src/honeyport/bundle/entries.py
@@ -31,7 +31,7 @@
     'limits': model.Limits,
     'requests': model.RequestLimits,
 }
-_BUCKETS = 256
+_BUCKET_COUNT = 256
 _EMPTY_HASH = hashlib.sha256(b'').digest()
 
 
@@ -61,7 +61,7 @@
         self._keys_by_bucket: dict[int, frozenset[str]] = _keys_in_buckets(
             entries
         )
-        self._bucket_hashes = [_EMPTY_HASH] * _BUCKETS
+        self._bucket_hashes = [_EMPTY_HASH] * _BUCKET_COUNT
         for bucket in self._keys_by_bucket:
             self._bucket_hashes[bucket] = self._hash_bucket(bucket)
 
@@ -188,7 +188,7 @@
 
 
 def _bucket(key: str) -> int:
-    return xxhash.xxh3_64_intdigest(key.encode()) % _BUCKETS
+    return xxhash.xxh3_64_intdigest(key.encode()) % _BUCKET_COUNT
 
 
 def _keys_in_buckets(
--- a/src/honeyport/control/catalog.py
+++ b/src/honeyport/control/catalog.py
@@ -5,7 +5,7 @@
 
 Every instance has a place (:mod:`honeyport.policy.places`). Places are part
 of the replicated state and survive a restart of all processes. They are sent
-to the routers before they are committed, so that a slow disk does not delay
+to the routers before they are committed, so that disk latency does not delay
 the message that an instance is leaving.
 """
 
@@ -24,18 +24,18 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# Pause between two readings, in seconds: a third of the shortest notice that
-# a platform gives before an instance stops (3 s).
+# Pause between two readings; shorter than the notice that a platform gives
+# before an instance stops.
 READ_INTERVAL_S = 0.9
-# Upper limit for a pause that the list's server asks for, in seconds: without
-# the list, requests still go to instances that are leaving.
+# Upper limit of a pause that the list's server requests: without the list,
+# requests still go to instances that are leaving.
 _MAX_RETRY_AFTER_S = 3.0
-# A list number is the leader's term, shifted by so many bits, plus a counter:
+# A list number is the leader's term, shifted left, plus a counter, so that
 # numbers ascend from one leader to the next.
-_TERM_SHIFT = 24
+_TERM_SHIFT_BITS = 24
 _PERSIST_INTERVAL_S = 0.2  # between checks for uncommitted places
-# Two estimates of the end of a cold period that differ by less, in seconds,
-# are taken as equal: the platform's data may be that old.
+# Two estimates of the end of a cold period that differ by less are equal: the
+# platform's data may be that old.
 _COLD_END_TOLERANCE_S = 1.0
 
 # Maximum number of refused entries whose reasons are in one log line.
@@ -128,9 +128,9 @@
         )
 
     async def _read(self) -> float:
-        """Read the list once; return the pause that its server asks for.
+        """Read the list once; return the pause that its server requests.
 
-        :returns: seconds; 0 if it does not ask for any
+        :returns: seconds; 0 if it does not request any
         """
         try:
             reading = await self._source()
@@ -153,7 +153,9 @@
         self._instances = instances
         self._has_unsaved_places = True
         self._counter += 1
-        self._list_number = (self._node.term << _TERM_SHIFT) + self._counter
+        self._list_number = (
+            self._node.term << _TERM_SHIFT_BITS
+        ) + self._counter
         self._latest = [
             self._with_cold_period(instance) for instance in instances
         ]
@@ -170,8 +172,8 @@
     def _extract_cold_periods(self, instances: list[pb.Instance]) -> bool:
         """Move the ends of cold periods from the list to the schedule.
 
-        The list has the time left, which decreases with every reading, so
-        that two lists with it would never compare equal.
+        The list has the remaining time, which decreases with every reading,
+        so that two lists with it would never compare equal.
 
         :returns: whether a cold period is new
         """
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -19,8 +19,8 @@
 from honeyport.wire import instance_load
 
 _STAMPS_PER_S = 1_000_000  # a stamp is a loop time in microseconds
-# A view number is the leader's term, shifted by so many bits, plus a counter.
-_TERM_SHIFT = 24
+# A view number is the leader's term, shifted left, plus a counter.
+_TERM_SHIFT_BITS = 24
 
 
 @attrs.define
@@ -88,7 +88,7 @@
     ) -> None:
         self._stable_at = stable_at
         self._routers: dict[str, Router] = {}
-        self._base_view = term << _TERM_SHIFT
+        self._base_view = term << _TERM_SHIFT_BITS
         self._view = pb.View(number=self._base_view)
         self._platform_states: dict[str, str] = {}
         self._lists = lists or instance_lists.InstanceLists()
--- a/src/honeyport/control/instance_lists.py
+++ b/src/honeyport/control/instance_lists.py
@@ -4,8 +4,8 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import listing
 
-# Lists that are kept as the base of a change. A new one comes at most with
-# each reading (0.9 s): a router that lags by 14 s still gets a change only.
+# Lists that are kept as the base of a change; routers with an older one get
+# the whole list.
 _MAX_KEPT_LISTS = 16
 
 
--- a/src/honeyport/control/introductions.py
+++ b/src/honeyport/control/introductions.py
@@ -19,8 +19,7 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import honeyport_pb2_grpc as rpc
 
-# Pause between two checks for missing routers, in seconds: half of the first
-# pause before a call.
+# Pause between two checks for missing routers.
 _CHECK_INTERVAL_S = 0.25
 # Same as a router's timeout for the first message of a leader.
 _CALL_TIMEOUT_S = 0.5
--- a/src/honeyport/control/loads.py
+++ b/src/honeyport/control/loads.py
@@ -12,7 +12,8 @@
 from honeyport.wire import honeyport_pb2 as pb
 from honeyport.wire import instance_load
 
-# Totals that are kept as the base of a change: three periods of reports.
+# Totals that are kept as the base of a change; routers with older ones get
+# all loads.
 _MAX_KEPT_TOTALS = 16
 
 
--- a/src/honeyport/control/membership_manager.py
+++ b/src/honeyport/control/membership_manager.py
@@ -17,7 +17,7 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 _PERIOD_S = 0.5
-_UNREACHABLE_AFTER_S = 2.5  # longer than a restart takes
+_UNREACHABLE_AFTER_S = 2.5  # exceeds the time of a restart
 
 
 class MembershipManager:
--- a/src/honeyport/control/router_updates.py
+++ b/src/honeyport/control/router_updates.py
@@ -17,15 +17,14 @@
 from honeyport.policy import pacing
 from honeyport.wire import honeyport_pb2 as pb
 
-# Time in which routers find a new leader, in seconds; before, the list of
-# routers would be incomplete.
+# Delay of the first list of routers in a term, until the routers have found
+# the new leader.
 _REATTACH_S = 0.4
-# Minimum interval between two lists of routers, in seconds: many routers may
-# attach within one second.
+# Minimum interval between two lists of routers.
 _PRESENCE_INTERVAL_S = 0.2
-# Up to this size, in bytes, an update is sent without rate limit.
+# Up to this size, an update is sent without rate limit.
 _MAX_UNPACED_BYTES = 2048
-# Lists of routers that are kept as the base of a change: 6 s.
+# Lists of routers that are kept as the base of a change.
 _MAX_KEPT_PRESENCES = 32
 
 
@@ -35,7 +34,7 @@
 
     :ivar view: the number of the view; 0 before the first
     :ivar presence: the number of the list of routers that callers may be
-        sent to; 0 while too few have come back
+        sent to; 0 while too few have attached in this term
     :ivar replicas: the addresses of the control replicas
     :ivar instances: the number of the list of instances
     :ivar version: the version of the accepted configuration
@@ -144,8 +143,8 @@
         :returns: the items, and what the router has after them
         """
         items = self._small_items(router_state, hello)
-        # Measured before it is copied into items: a stream that exceeds the
-        # rate limit tries again at every tick.
+        # The size is checked before the copy, since a stream that exceeds the
+        # rate limit retries at every tick.
         large = self._large_messages(router_state, hello)
         size = sum(message.ByteSize() for message in large.values())
         now = asyncio.get_running_loop().time()
--- a/src/honeyport/control/suspects.py
+++ b/src/honeyport/control/suspects.py
@@ -3,7 +3,7 @@
 The decisions are made in :mod:`honeyport.policy.suspicion`. Requests with
 several crashes ("ends") are part of the replicated state, so that they are
 still refused after a change of leader or a restart of all processes. They are
-sent to the gateways before they are committed, so that a slow disk does not
+sent to the gateways before they are committed, so that disk latency does not
 delay the message. Gateways report those with one end to each new leader.
 """
 
@@ -19,11 +19,10 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# Pause between two checks for uncommitted changes, in seconds: far below the
-# time that an instance takes to restart.
+# Pause between two checks for uncommitted changes.
 _PERSIST_INTERVAL_S = 0.1
-# For how long a message to the gateways is reused, in seconds: one tick. The
-# remaining times in it are inaccurate by up to as much.
+# How long a message to the gateways is reused: one tick. The remaining times
+# in it are inaccurate by up to as much.
 _MESSAGE_REUSE_S = 0.05
 
 LeaseCheck = collections.abc.Callable[[str, str], bool]
--- a/src/honeyport/control/timer.py
+++ b/src/honeyport/control/timer.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
-# Range of the random wait, in election timeouts; shorter just after a start,
-# when a candidate needs the answers of all voters.
+# Range of the random wait, in election timeouts. Just after a start the wait
+# is shorter, since a candidate then needs the answers of all voters.
 _WAIT_FACTORS = (1.0, 2.0)
 _STARTUP_WAIT_FACTORS = (0.1, 0.5)
 _NEVER = float('-inf')
--- a/src/honeyport/router/dispatch.py
+++ b/src/honeyport/router/dispatch.py
@@ -29,8 +29,8 @@
 _HANDOVER_POLL_S = 0.05
 _HANDOVER_TIMEOUT_LEASES = 3  # longest wait for a new owner, in lease periods
 _MAX_ATTEMPTS = 5
-# Delay before a call is retried that several servers crashed under. It is long
-# enough for the fleet to learn of the crashes.
+# Delay before the retry of a call during which several servers crashed, so
+# that the reports of the crashes reach all routers.
 _SUSPECT_DELAY_S = 0.2
 
 _NEXT_SERVER_ERRORS = (errors.BackendFull, errors.NotSent, errors.NotReady)
@@ -118,7 +118,7 @@
                 (hint or servers[0], _UNTIL_DEADLINE_S)
             ]  # holds the stream
         elif hint == servers[0]:
-            # A short wait costs less than computing the prefix elsewhere.
+            # A short wait is faster than computing the prefix again.
             warm_wait_s = self._state.bundle.limits.warm_wait_ms / 1000
             attempts[0] = (hint, warm_wait_s)
         last_error: errors.HoneyportError | None = None
--- a/src/honeyport/router/fleetstate.py
+++ b/src/honeyport/router/fleetstate.py
@@ -18,7 +18,7 @@
 _FIRST_CONFIG_RETRY_S = 2.0
 _MAX_LOAD_AGE_PERIODS = 2  # report periods after which loads are out of date
 _CLOCK_DRIFT_FACTOR = (
-    0.9  # of the lease period, in case the local clock is slow
+    0.9  # of the lease period, since the local clock may be slow
 )
 
 
--- a/src/honeyport/router/leader_search.py
+++ b/src/honeyport/router/leader_search.py
@@ -6,8 +6,8 @@
 from honeyport.telemetry import log as logs
 from honeyport.telemetry import metrics
 
-# Attempts that fail alike, by address and reason, between two log lines.
-_LOG_EVERY = 50
+# Attempts with the same address and reason between two log lines.
+_ATTEMPTS_PER_LOG_LINE = 50
 
 SILENT = 'silent'
 REDIRECTED = 'redirected'
@@ -50,7 +50,7 @@
             return  # not a failure; the leader is tried next
         self._failure_counts[address, reason] += 1
         tries = self._failure_counts[address, reason]
-        if tries == 1 or tries % _LOG_EVERY == 0:
+        if tries == 1 or tries % _ATTEMPTS_PER_LOG_LINE == 0:
             logs.emit(
                 events.SESSION_FAILED,
                 address=address,
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -18,7 +18,8 @@
 from honeyport.telemetry import metrics
 from honeyport.wire import honeyport_pb2 as pb
 
-# After it the request is refused, since another router may be running it.
+# After this time the request is refused, since another router may be running
+# it.
 _PERMIT_TIMEOUT_S = 0.5
 _RETRY_AFTER_S = 1.0  # after a refusal without an answer of the leader
 # Crashes that are reported again to each new leader, and the requests in them.
--- a/src/honeyport/router/witness.py
+++ b/src/honeyport/router/witness.py
@@ -15,16 +15,16 @@
 from honeyport.telemetry import events
 from honeyport.telemetry import log as logs
 
-# Times of the probes after a connection broke, in seconds. A process that ends
-# may accept connections for a moment, and may be running again soon after.
+# Times of the probes after a connection broke. There are two because a process
+# that ends may still accept connections, and may soon be running again.
 _PROBE_TIMES_S = (0.05, 0.4)
-# For how long a broken request counts as affected by a later crash.
+# How long a broken request counts as affected by a later crash.
 _CRASH_WINDOW_S = 15.0
-# The same if the probes succeeded. A proxy may have accepted them for a
-# crashed instance, in which case only the platform's list shows the crash.
+# The same after successful probes: a proxy may have accepted them for a
+# crashed instance, and then only the platform's list shows the crash.
 _DELISTING_WINDOW_S = 6.0
-_MAX_BROKEN_REQUESTS = 1000  # requests
-_MAX_LOGGED_FINGERPRINTS = 20  # fingerprints in one log line
+_MAX_BROKEN_REQUESTS = 1000  # for each instance
+_MAX_LOGGED_FINGERPRINTS = 20  # in one log line
 
 # Evidence of a crash, as it is logged.
 CONNECTION_REFUSED = 'connection refused'
