--- a/src/honeyport/standin/engine.py
+++ b/src/honeyport/standin/engine.py
@@ -66,7 +66,7 @@
         self._load_task: asyncio.Task[None] | None = None
 
     @property
-    def busy(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether new requests are rejected."""
         return self.loading or self.waiting >= self._settings.slots
 
--- a/src/honeyport/standin/engine_api.py
+++ b/src/honeyport/standin/engine_api.py
@@ -22,7 +22,7 @@
     """``POST /v1/chat/completions``: start an answer, streamed or whole."""
 
     async def post(self) -> None:
-        if self._engine.busy:
+        if self._engine.is_overloaded:
             self.set_status(503)
             return
         body = json.loads(self.request.body)
