--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -163,7 +163,7 @@
         chosen = gateway.choose(choices.SERVICE, parts, ()).instance
         is_lost = chosen.domain == self.lost
         if is_lost:
-            gateway.record_failure(chosen, 'HP-3007', was_reached=False)
+            gateway.record_failure(chosen, 'HP-3007', connected=False)
         return is_lost
 
     def _propagate(self, now):
--- a/src/honeyport/gateway/attempt.py
+++ b/src/honeyport/gateway/attempt.py
@@ -19,7 +19,7 @@
 _CHUNK_BYTES = 64 * 1024
 _EVENT_STREAM = 'text/event-stream'
 # Answers to other requests that are discarded before the expected one.
-_MAX_FOREIGN_ANSWERS = 2
+_MAX_FOREIGN_RESPONSES = 2
 # Descriptions of connection errors; the first matching class is used.
 _CAUSE_TEXTS: dict[type[BaseException], str] = {
     ConnectionResetError: 'reset by the instance',
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Head:
-    """Status line and headers of an answer."""
+    """Status line and headers of a response."""
 
     status: int
     reason: str
@@ -55,8 +55,8 @@
 
 
 @attrs.define
-class Answer:
-    """A complete answer of an instance.
+class Response:
+    """A complete response of an instance.
 
     :ivar body: empty if it was relayed while it arrived
     """
@@ -72,33 +72,34 @@
     async def begin(self, head: Head) -> None:
         """Handle the head of a stream."""
 
-    async def events(self, chunk: bytes) -> None:
+    async def write_events(self, chunk: bytes) -> None:
         """Handle bytes of the body."""
 
     def on_activity(self) -> None:
         """Handle the arrival of any bytes."""
 
 
-# Called with the head of each answer on a connection, foreign ones included.
+# Called with the head of each response on a connection, including responses to
+# other requests.
 HeadCallback = collections.abc.Callable[[Head], None]
 
 
 class _Reader(httputil.HTTPMessageDelegate):
-    """Collects one answer from tornado's parser."""
+    """Collects one response from tornado's parser."""
 
     def __init__(
         self,
         request_id: str,
-        names: gateway_headers.HeaderNames,
+        header_names: gateway_headers.HeaderNames,
         relay: Relay,
         on_head: HeadCallback,
     ) -> None:
         self._request_id = request_id
-        self._names = names
+        self._header_names = header_names
         self._relay = relay
         self._on_head = on_head
         self.head: Head | None = None
-        self.is_foreign = False
+        self.is_for_other_request = False
         self.is_relayed = False
         self.is_complete = False
         self.body = bytearray()
@@ -110,15 +111,17 @@
     ) -> collections.abc.Awaitable[None] | None:
         self._relay.on_activity()
         if start_line.code < 200:
-            return None  # tornado calls again with the final answer
+            return None  # tornado calls again with the final response
         head = Head(start_line.code, start_line.reason, headers)
         self._on_head(head)
-        answered_id = headers.get(self._names.request_id, self._request_id)
-        self.is_foreign = answered_id != self._request_id
-        if self.is_foreign:
+        response_request_id = headers.get(
+            self._header_names.request_id, self._request_id
+        )
+        self.is_for_other_request = response_request_id != self._request_id
+        if self.is_for_other_request:
             return None
         self.head = head
-        has_digest = self._names.digest in headers
+        has_digest = self._header_names.digest in headers
         if self.head.is_success and self.head.is_stream and has_digest:
             self.is_relayed = True
             return self._relay.begin(self.head)
@@ -128,10 +131,10 @@
         self, chunk: bytes
     ) -> collections.abc.Awaitable[None] | None:
         self._relay.on_activity()
-        if self.is_foreign:
+        if self.is_for_other_request:
             return None
         if self.is_relayed:
-            return self._relay.events(chunk)
+            return self._relay.write_events(chunk)
         self.body += chunk
         return None
 
@@ -140,17 +143,17 @@
 
 
 class Attempt:
-    """Sends a request once and reads its answer."""
+    """Sends a request once and reads its response."""
 
     def __init__(
         self,
         connection: pool.Connection,
-        names: gateway_headers.HeaderNames,
+        header_names: gateway_headers.HeaderNames,
         relay: Relay,
         on_head: HeadCallback,
     ) -> None:
         self._connection = connection
-        self._names = names
+        self._header_names = header_names
         self._relay = relay
         self._on_head = on_head
 
@@ -158,27 +161,30 @@
         self,
         request: gateway_headers.Request,
         headers: httputil.HTTPHeaders,
-    ) -> Answer:
-        """Return the complete answer; the connection is reusable afterwards.
+    ) -> Response:
+        """Return the complete response; the connection is reusable afterwards.
 
         :raises errors.BackendLost: if the connection broke
-        :raises errors.ForeignAnswer: if no answer to this request came
+        :raises errors.ForeignAnswer: if no response to this request came
         """
         try:
-            for number in range(_MAX_FOREIGN_ANSWERS + 1):
+            for number in range(_MAX_FOREIGN_RESPONSES + 1):
                 reader = _Reader(
-                    request.request_id, self._names, self._relay, self._on_head
+                    request.request_id,
+                    self._header_names,
+                    self._relay,
+                    self._on_head,
                 )
                 http = self._new_http()
                 if number == 0:
                     _write_request(http, request, headers)
                 http.finish()
                 await http.read_response(reader)
-                if not reader.is_foreign:
-                    return self._complete_answer(reader)
+                if not reader.is_for_other_request:
+                    return self._complete_response(reader)
         except _CONNECTION_ERRORS as error:
             raise errors.BackendLost(_describe_cause(error)) from None
-        raise errors.ForeignAnswer('received only answers to other requests')
+        raise errors.ForeignAnswer('received only responses to other requests')
 
     def _new_http(self) -> http1connection.HTTP1Connection:
         """Return an HTTP connection for one message on the stream."""
@@ -192,10 +198,10 @@
             ),
         )
 
-    def _complete_answer(self, reader: _Reader) -> Answer:
-        """Return the answer if it is complete.
+    def _complete_response(self, reader: _Reader) -> Response:
+        """Return the response if it is complete.
 
-        An answer without a length ends with its connection; tornado treats
+        A response without a length ends with its connection; tornado treats
         a reset as a regular end, so the stream's error is checked, too.
 
         :raises errors.BackendLost: if it is incomplete
@@ -203,14 +209,14 @@
         """
         head = reader.head
         if head is None or not reader.is_complete:
-            raise errors.BackendLost('the answer is incomplete')
+            raise errors.BackendLost('the response is incomplete')
         if self._connection.stream.error is not None:
             raise errors.BackendLost(
                 _describe_cause(self._connection.stream.error)
             )
-        if head.is_success and self._names.digest not in head.headers:
-            raise errors.ForeignAnswer('a success answer without a digest')
-        return Answer(head, bytes(reader.body), reader.is_relayed)
+        if head.is_success and self._header_names.digest not in head.headers:
+            raise errors.ForeignAnswer('a success response without a digest')
+        return Response(head, bytes(reader.body), reader.is_relayed)
 
 
 def _describe_cause(error: BaseException) -> str:
@@ -223,7 +229,7 @@
 
 
 def keep_alive_s(head: Head) -> float | None:
-    """Return the idle timeout that an answer names.
+    """Return the idle timeout that a response names.
 
     :returns: seconds, 0 for ``Connection: close``, or ``None``
     """
@@ -250,6 +256,6 @@
 
 
 def _ignore_result(future: 'asyncio.Future[None]') -> None:
-    """Retrieve a write error; the missing answer reports the failure."""
+    """Retrieve a write error; the missing response reports the failure."""
     if not future.cancelled():
         future.exception()
--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -39,7 +39,7 @@
     :param name: name of this gateway
     :param domain: failure domain of this gateway
     :param regions: region of each failure domain
-    :param signals: rests and departures that instances announced
+    :param signals: backoffs and departures that instances announced
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._remote_counted_at = float('-inf')
         self._durations = stale.DurationMeans()
         self._prefix_holders = prefixes.Holders()
-        self._leaving_since: dict[str, float] = {}
+        self._listed_leaving_since: dict[str, float] = {}
 
     @property
     def running(self) -> collections.abc.Mapping[str, int]:
@@ -77,8 +77,8 @@
     def set_evacuated(self, domains: NameSet) -> None:
         """Set the failure domains whose instances get no new requests.
 
-        Instances of a restored domain are treated as cold, since they got
-        no requests meanwhile.
+        Instances of a restored domain are treated as cold, since they got no
+        requests meanwhile.
         """
         restored = self._evacuated - domains
         self._evacuated = domains
@@ -142,14 +142,16 @@
             if listed.cold_ms:
                 self._cold_start.mark_cold(listed.id, listed.cold_ms / 1000)
         self._cold_start.drop_expired()
-        usable = {
+        not_leaving_ids = {
             instance.id
             for group in self._instances_by_service.values()
             for instance in group
             if not instance.leaving
         }
-        self._update_leaving_since(_now() if had_list else float('-inf'))
-        self._health.retain(usable)
+        self._update_listed_leaving_since(
+            _now() if had_list else float('-inf')
+        )
+        self._health.retain(not_leaving_ids)
         listed_ids = {entry.id for entry in instances.instances}
         self._prefix_holders.retain(listed_ids)
         self._signals.retain(listed_ids)
@@ -157,9 +159,9 @@
         logs.emit(
             events.INSTANCES_APPLIED,
             list_number=self._list_number,
-            usable=len(usable),
+            usable=len(not_leaving_ids),
         )
-        return usable
+        return not_leaving_ids
 
     def choose(
         self,
@@ -189,13 +191,13 @@
                 f'no instance of {service} left to try',
                 retry_after=_NO_INSTANCE_RETRY_S,
             )
-        not_resting = self._signals.not_resting(eligible)
-        if not not_resting:
+        not_in_backoff = self._signals.not_in_backoff(eligible)
+        if not not_in_backoff:
             raise errors.NoInstance(
                 f'all remaining instances of {service} are resting',
                 retry_after=self._signals.retry_after_s(eligible),
             )
-        candidates = self._candidates(not_resting, peers)
+        candidates = self._candidates(not_in_backoff, peers)
         if not candidates.preferred:
             raise errors.NoInstance(
                 f'all remaining instances of {service} are cold',
@@ -214,7 +216,7 @@
         choice = placement.choose_by_prefix(
             parts, candidates, counts, self._domain
         )
-        return self._with_copy_source(service, parts, choice, regions)
+        return self._with_cache_source(service, parts, choice, regions)
 
     def _eligible(
         self,
@@ -255,7 +257,7 @@
             (
                 'resting',
                 lambda instance: (
-                    self._signals.rest_remaining_s(instance.id) > 0
+                    self._signals.backoff_remaining_s(instance.id) > 0
                 ),
             ),
             (
@@ -309,7 +311,7 @@
         instance: placement.Instance,
         reason: str,
         *,
-        was_reached: bool = True,
+        connected: bool = True,
     ) -> None:
         """Record a failure of an instance and avoid it for a while.
 
@@ -317,11 +319,11 @@
         with an empty cache.
 
         :param reason: code of the error
-        :param was_reached: whether a connection to it was established
+        :param connected: whether a connection to it was established
         """
         self._prefix_holders.forget_instance(instance.id)
         pause = self._health.record_failure(
-            instance.id, _now(), was_reached=was_reached
+            instance.id, _now(), connected=connected
         )
         logs.emit(
             events.INSTANCE_AVOIDED,
@@ -332,14 +334,14 @@
             pause_s=pause.pause_s,
         )
 
-    def _update_leaving_since(self, since: float) -> None:
+    def _update_listed_leaving_since(self, since: float) -> None:
         """Update the time at which each leaving instance began to leave.
 
         :param since: loop time for instances that were not leaving in the
             previous list; ``-inf`` for the first list
         """
-        self._leaving_since = {
-            instance.id: self._leaving_since.get(instance.id, since)
+        self._listed_leaving_since = {
+            instance.id: self._listed_leaving_since.get(instance.id, since)
             for group in self._instances_by_service.values()
             for instance in group
             if instance.leaving
@@ -363,15 +365,15 @@
         Cold instances are a reserve as long as warm ones are healthy.
         """
         now = _now()
-        warm: list[placement.Instance] = []
-        cold: list[placement.Instance] = []
+        warm_instances: list[placement.Instance] = []
+        cold_instances: list[placement.Instance] = []
         for instance in eligible:
             is_cold = self._cold_start.is_cold(instance, now)
-            (cold if is_cold else warm).append(instance)
-        healthy_warm = self._healthy(warm)
+            (cold_instances if is_cold else warm_instances).append(instance)
+        healthy_warm = self._healthy(warm_instances)
         cold_with_capacity = [
             instance
-            for instance in cold
+            for instance in cold_instances
             if self._cold_start.may_send(
                 instance, now, all_cold=not healthy_warm
             )
@@ -380,17 +382,17 @@
         if healthy_warm:
             return placement.Candidates(healthy_warm, healthy_cold, peers)
         return placement.Candidates(
-            healthy_cold or warm or cold_with_capacity, (), peers
+            healthy_cold or warm_instances or cold_with_capacity, (), peers
         )
 
-    def _may_copy_from(self, instance: placement.Instance) -> bool:
+    def _is_cache_source(self, instance: placement.Instance) -> bool:
         """Whether prefixes may be copied from an instance now."""
         now = _now()
         if self._cold_start.is_cold(instance, now):
             return False  # its cache is nearly empty
-        listed_since = self._leaving_since.get(instance.id, now)
+        listed_since = self._listed_leaving_since.get(instance.id, now)
         signalled_since = self._signals.leaving_since(instance.id)
-        return placement.can_be_copied_from(
+        return placement.is_available_source(
             now
             - (
                 listed_since
@@ -399,13 +401,13 @@
             ),
             is_healthy=self._health.is_healthy(instance.id)
             and instance.id not in self._fleet_unreachable
-            and not self._signals.rest_remaining_s(instance.id),
+            and not self._signals.backoff_remaining_s(instance.id),
         )
 
     def _healthy(
         self, instances: list[placement.Instance]
     ) -> list[placement.Instance]:
-        """Return instances without recent failures, within their ramp-up."""
+        """Return the healthy instances whose slow start allows a request."""
         now = _now()
         healthy = [
             instance
@@ -413,9 +415,9 @@
             if instance.id not in self._fleet_unreachable
             and not self._health.is_paused(instance.id, now)
         ]
-        return self._signals.within_ramp_up(healthy, self._running)
+        return self._signals.within_slow_start(healthy, self._running)
 
-    def _with_copy_source(
+    def _with_cache_source(
         self,
         service: str,
         parts: prefixes.Parts,
@@ -427,7 +429,7 @@
             instance
             for instance in self._instances_by_service[service]
             if instance.id != choice.instance.id
-            and self._may_copy_from(instance)
+            and self._is_cache_source(instance)
             and self._is_allowed(instance, regions)
         ]
         source = placement.find_cache_source(
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -29,8 +29,8 @@
 from honeyport.wire import honeyport_pb2 as pb
 
 _DRAIN_POLL_S = 0.05
-# Resting instances that one report lists at most.
-_MAX_RESTING_REPORTED = 64
+# Maximum number of instances in backoff that one report lists.
+_MAX_BACKOFFS_REPORTED = 64
 
 
 class Gateway:
@@ -40,12 +40,12 @@
         self,
         settings: roles.Router,
         names: gateway_headers.HeaderNames,
-        leaving: draining.DrainTimes,
+        drain_times: draining.DrainTimes,
         allowance: repeats.Allowance,
         counters: metrics.Metrics,
     ) -> None:
         self._settings = settings
-        self._leaving = leaving
+        self._drain_times = drain_times
         self._metrics = counters
         self._state = fleetstate.FleetState()
         self._signals = instance_signals.InstanceSignals(
@@ -137,7 +137,7 @@
 
     async def start(
         self,
-        tree: supervisor.Supervisor,
+        process_supervisor: supervisor.Supervisor,
         listener: socket.socket | None = None,
     ) -> None:
         """Start serving under a supervisor.
@@ -152,11 +152,11 @@
         self._gate.start()
         if not self._settings.replica:  # its replica listens there already
             await redirector.serve(
-                self._settings.peer_listen, self._session, tree
+                self._settings.peer_listen, self._session, process_supervisor
             )
-        tree.on_stop('connections', self._close)
-        tree.start_task('session', self._session.run)
-        tree.on_stop('drain', self._drain)
+        process_supervisor.on_stop('connections', self._close)
+        process_supervisor.start_task('session', self._session.run)
+        process_supervisor.on_stop('drain', self._drain)
 
     async def _drain(self) -> None:
         """Leave the view, serve for a while, refuse, and finish requests."""
@@ -164,9 +164,9 @@
         started_at = loop.time()
         self._caller_server.start_closing()
         self._session.announce_leaving()
-        await asyncio.sleep(self._leaving.refuse_after_s)
+        await asyncio.sleep(self._drain_times.refuse_after_s)
         self._caller_server.start_refusing()
-        while loop.time() - started_at < self._leaving.stop_after_s:
+        while loop.time() - started_at < self._drain_times.stop_after_s:
             if not self._forwarder.running:
                 return
             await asyncio.sleep(_DRAIN_POLL_S)
@@ -181,7 +181,9 @@
         for instance_id, running in self._balancer.running.items():
             report.residuals.add(backend=instance_id, running=running)
         report.down.extend(self._balancer.unreachable)
-        report.resting.extend(self._signals.resting[:_MAX_RESTING_REPORTED])
+        report.resting.extend(
+            self._signals.in_backoff[:_MAX_BACKOFFS_REPORTED]
+        )
 
     def apply_state(self) -> None:
         """Apply the fleet state to balancer, connections and limits."""
@@ -197,13 +199,13 @@
             [router.router for router in self._state.serving_routers]
         )
         self._balancer.set_fleet_unreachable(self._state.unreachable)
-        usable = self._balancer.apply_instances(
+        not_leaving_ids = self._balancer.apply_instances(
             self._state.instances,
             self._state.running_elsewhere,
             now - self._state.loads_age_s,
         )
-        if usable is not None:
-            self._pool.retain(usable)
+        if not_leaving_ids is not None:
+            self._pool.retain(not_leaving_ids)
             self._update_end_detector()
 
     def _apply_configuration(self, bundle: model.Bundle) -> None:
--- a/src/honeyport/gateway/exchanges.py
+++ b/src/honeyport/gateway/exchanges.py
@@ -20,11 +20,11 @@
 
 
 class Reply(typing.Protocol):
-    """Writes the answer to the caller."""
+    """Writes the response to the caller."""
 
     @property
-    def started(self) -> bool:
-        """Whether the head of an answer has been written."""
+    def is_started(self) -> bool:
+        """Whether the head of a response has been written."""
 
     async def begin(self, head: attempt.Head) -> None:
         """Write the head of a stream."""
@@ -35,28 +35,28 @@
     async def end(self) -> None:
         """Finish a complete stream."""
 
-    async def answer(self, head: attempt.Head, body: bytes) -> None:
-        """Write a complete answer."""
+    async def send_response(self, head: attempt.Head, body: bytes) -> None:
+        """Write a complete response."""
 
     async def refuse(self, error: errors.HoneyportError) -> None:
-        """Write an error, or close the connection if an answer has begun."""
+        """Write an error, or close the connection if a response has begun."""
 
 
 @attrs.define
 class Exchange:
     """A request, its attempts and its timings.
 
-    :ivar deadline: loop time by which it needs its final answer
+    :ivar deadline: loop time by which it needs its final response
     :ivar version: version of the configuration that admitted it
     :ivar fingerprint: equal for all attempts of the same request
     :ivar tried: ids of the instances that were tried
     :ivar offers: number of attempts, including refused ones
     :ivar possible_runs: number of attempts that may have run
-    :ivar failed_answer: error answer of the last attempt, to be passed on if
-        no other attempt follows
+    :ivar failed_response: error response of the last attempt, passed on if no
+        other attempt follows
     :ivar waited_s: wait for the lease, in seconds
     :ivar connect_s: total time spent on connecting, in seconds
-    :ivar first_byte_s: time from its arrival to the first byte of an answer,
+    :ivar first_byte_s: time from its arrival to the first byte of a response,
         in seconds
     """
 
@@ -71,7 +71,7 @@
     tried: set[str] = attrs.field(factory=set)
     offers: int = 0
     possible_runs: int = 0
-    failed_answer: attempt.Answer | None = None
+    failed_response: attempt.Response | None = None
     choice: placement.Choice | None = None
     idle_timer: silence_timeout.SilenceTimeout | None = None
     waited_s: float = 0.0
@@ -114,8 +114,8 @@
         headers[names.priority] = str(priority)
         if self.choice is not None and self.choice.source is not None:
             headers[names.copy_from] = self.choice.source.address
-        if self.splitter.last_id:
-            headers[names.last_event] = self.splitter.last_id
+        if self.splitter.last_event_id:
+            headers[names.last_event] = self.splitter.last_event_id
         if request.body or request.method in _WITH_BODY:
             headers['Content-Length'] = str(len(request.body))
         return headers
@@ -132,10 +132,10 @@
 
     async def begin(self, head: attempt.Head) -> None:
         """Pass on the head of a stream, unless the stream is resumed."""
-        if not self.reply.started:
+        if not self.reply.is_started:
             await self.reply.begin(head)
 
-    async def events(self, chunk: bytes) -> None:
+    async def write_events(self, chunk: bytes) -> None:
         """Pass on complete events."""
         complete = self.splitter.feed(chunk)
         if complete:
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -1,4 +1,4 @@
-"""Request forwarding: routing, choice of an instance, attempts, answer.
+"""Request forwarding: routing, choice of an instance, attempts, response.
 
 A request that is not idempotent is sent to another instance only if it was not
 sent to the previous one, or if that one reports that it did not run it.
@@ -46,7 +46,7 @@
 
     :param state: this instance's view of the fleet
     :param gate: admits requests while the lease is valid
-    :param signals: rests and departures that instances announced
+    :param signals: backoffs and departures that instances announced
     :param budgets: retry budgets by service
     :param detector: detects instances that ended with requests running
     :param suspect_tracker: permits for requests that may crash instances
@@ -92,7 +92,7 @@
         exchange: exchanges.Exchange | None = None
         try:
             waited_s = await self._gate.wait_until_open(request.deadline)
-            exchange = self._admit(request, reply)
+            exchange = self._create_exchange(request, reply)
             exchange.waited_s = waited_s
             await self._run(exchange)
             self._request_log.record(events.REQUEST_SERVED, request, exchange)
@@ -122,7 +122,7 @@
             self._table = routes.Table(bundle)
         return self._table
 
-    def _admit(
+    def _create_exchange(
         self, request: gateway_headers.Request, reply: exchanges.Reply
     ) -> exchanges.Exchange:
         table = self.table()
@@ -143,7 +143,7 @@
         )
 
     async def _run(self, exchange: exchanges.Exchange) -> None:
-        """Try instances until there is a final answer.
+        """Try instances until there is a final response.
 
         :raises errors.DeadlinePassed: if time is over and it may have run
         :raises errors.Overloaded: if time is over and it did not run
@@ -161,20 +161,20 @@
     async def _try_instances(self, exchange: exchanges.Exchange) -> None:
         while True:
             try:
-                async with self._admit_suspect(exchange):
+                async with self._hold_permit(exchange):
                     await self._try_next_instance(exchange)
                 return
             except errors.HoneyportError as error:
                 if self._may_retry(exchange, error):
                     exchange.splitter.discard_partial()
                     continue
-                if exchange.failed_answer is None:
-                    raise _combine_error(exchange, error) from None
-                await self._finish(exchange, exchange.failed_answer)
+                if exchange.failed_response is None:
+                    raise _error_for_all_attempts(exchange, error) from None
+                await self._write_response(exchange, exchange.failed_response)
                 return
 
     @contextlib.asynccontextmanager
-    async def _admit_suspect(
+    async def _hold_permit(
         self, exchange: exchanges.Exchange
     ) -> collections.abc.AsyncIterator[None]:
         """Hold a permit for a request that may crash its instance.
@@ -194,7 +194,7 @@
             yield
 
     async def _try_next_instance(self, exchange: exchanges.Exchange) -> None:
-        """Send the request to one instance and pass on its answer.
+        """Send the request to one instance and pass on its response.
 
         :raises errors.HoneyportError: if that instance did not answer it
         """
@@ -211,19 +211,19 @@
         instance = exchange.choice.instance
         with self._balancer.count_in_flight(instance):
             try:
-                answer = await self._send(exchange, instance)
+                response = await self._send(exchange, instance)
             except errors.HoneyportError as error:
                 self._handle_failure(exchange, instance, error)
                 raise
         self._balancer.record_success(instance, exchange.parts)
-        if answer.head.is_success:
+        if response.head.is_success:
             self._suspects.record_success(exchange.fingerprint)
-        await self._finish(exchange, answer)
+        await self._write_response(exchange, response)
 
     async def _send(
         self, exchange: exchanges.Exchange, instance: placement.Instance
-    ) -> attempt.Answer:
-        """Connect to an instance, send the request and check its answer."""
+    ) -> attempt.Response:
+        """Connect to an instance, send the request and check its response."""
         exchange.tried.add(instance.id)
         exchange.offers += 1
         started_at = asyncio.get_running_loop().time()
@@ -232,32 +232,32 @@
         is_released = False
         try:
             # Checked again after connecting: the lease may have expired or
-            # the instance may have asked for rest meanwhile.
+            # the instance may have requested a backoff meanwhile.
             self._gate.check_lease()
-            self._signals.check_not_resting(instance)
-            exchange.failed_answer = None
+            self._signals.check_not_in_backoff(instance)
+            exchange.failed_response = None
             exchange.possible_runs += 1
-            answer = await self._attempt(exchange, connection)
-            keep_alive_s = attempt.keep_alive_s(answer.head)
+            response = await self._attempt(exchange, connection)
+            keep_alive_s = attempt.keep_alive_s(response.head)
             if keep_alive_s != 0:
                 self._pool.release(connection, keep_alive_s)
                 is_released = True
         finally:
             if not is_released:
                 connection.close()
-        return self._check_answer(exchange, answer)
+        return self._check_response(exchange, response)
 
     async def _attempt(
         self, exchange: exchanges.Exchange, connection: pool.Connection
-    ) -> attempt.Answer:
-        """Return the answer of an instance.
+    ) -> attempt.Response:
+        """Return the response of an instance.
 
         :raises errors.BackendSilent: if nothing arrives in time and the
             request may be sent to another instance
         """
-        limits = None
+        timeouts = None
         if exchange.may_repeat:
-            limits = silence.timeouts(exchange.match.route)
+            timeouts = silence.timeouts(exchange.match.route)
         headers = exchange.headers(self._names, connection.instance)
         sent_at = asyncio.get_running_loop().time()
         single_attempt = attempt.Attempt(
@@ -270,23 +270,23 @@
         )
         try:
             async with silence_timeout.SilenceTimeout(
-                limits
+                timeouts
             ) as exchange.idle_timer:
                 return await single_attempt.run(exchange.request, headers)
         except TimeoutError:
             raise errors.BackendSilent(
-                f'no bytes received within {limits}'
+                f'no bytes received in time: {timeouts}'
             ) from None
 
-    def _check_answer(
-        self, exchange: exchanges.Exchange, answer: attempt.Answer
-    ) -> attempt.Answer:
-        """Return the answer if it may be passed on.
+    def _check_response(
+        self, exchange: exchanges.Exchange, response: attempt.Response
+    ) -> attempt.Response:
+        """Return the response if it may be passed on.
 
         :raises errors.NotExecuted: if the instance did not run the request
         :raises errors.AttemptFailed: if the request ran and failed
         """
-        head = answer.head
+        head = response.head
         if head.status == _MISDIRECTED_STATUS:
             exchange.possible_runs -= 1
             raise errors.Misdirected(retry_after=_RETRY_AFTER_S)
@@ -295,16 +295,16 @@
             raise errors.NotExecuted(
                 f'status {head.status}', retry_after=_RETRY_AFTER_S
             )
-        says_not_run = head.status in _NOT_RUN_STATUSES
-        if head.status < _MIN_FAILURE_STATUS and not says_not_run:
-            return answer
+        has_not_run_status = head.status in _NOT_RUN_STATUSES
+        if head.status < _MIN_FAILURE_STATUS and not has_not_run_status:
+            return response
         # Without the header, a status that callers take as "not run" is not
         # passed on: the request may have run.
-        started = exchange.reply.started
-        if not says_not_run and not started:
-            exchange.failed_answer = answer
+        is_started = exchange.reply.is_started
+        if not has_not_run_status and not is_started:
+            exchange.failed_response = response
             if not exchange.may_repeat:
-                return answer
+                return response
         raise errors.AttemptFailed(f'status {head.status}')
 
     def _handle_failure(
@@ -331,12 +331,10 @@
         self._notify_end_detector(exchange, error)
         # Misdirected: another instance has this address and the list is
         # outdated.
-        was_not_reached = isinstance(
-            error, (errors.NotSent, errors.Misdirected)
-        )
-        if was_not_reached or isinstance(error, errors.BackendLost):
+        not_connected = isinstance(error, (errors.NotSent, errors.Misdirected))
+        if not_connected or isinstance(error, errors.BackendLost):
             self._balancer.record_failure(
-                instance, error.code, was_reached=not was_not_reached
+                instance, error.code, connected=not not_connected
             )
 
     def _notify_end_detector(
@@ -393,11 +391,11 @@
             self._metrics.count('allowance_spent', service=exchange.service)
         return is_allowed
 
-    async def _finish(
-        self, exchange: exchanges.Exchange, answer: attempt.Answer
+    async def _write_response(
+        self, exchange: exchanges.Exchange, response: attempt.Response
     ) -> None:
-        if not answer.is_relayed:
-            await exchange.reply.answer(answer.head, answer.body)
+        if not response.is_relayed:
+            await exchange.reply.send_response(response.head, response.body)
             return
         partial = exchange.splitter.partial()
         if partial:
@@ -405,7 +403,7 @@
         await exchange.reply.end()
 
 
-def _combine_error(
+def _error_for_all_attempts(
     exchange: exchanges.Exchange, error: errors.HoneyportError
 ) -> errors.HoneyportError:
     """Return an error that holds for all attempts, not only the last.
--- a/src/honeyport/gateway/headers.py
+++ b/src/honeyport/gateway/headers.py
@@ -12,8 +12,9 @@
 from honeyport import errors
 from honeyport.policy import prefixes
 
-# Hop-by-hop headers, which are not forwarded: RFC 9110, section 7.6.1.
-_HOP_BY_HOP = frozenset(
+# Headers that are not forwarded: the hop-by-hop headers of RFC 9110, section
+# 7.6.1, and those that the gateway sets itself.
+_NOT_FORWARDED_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -117,14 +118,14 @@
     headers: httputil.HTTPHeaders, names: HeaderNames
 ) -> httputil.HTTPHeaders:
     """Return the headers of an instance's answer that are forwarded."""
-    hidden = _HOP_BY_HOP | _connection_options(headers)
-    return _without(headers, hidden | {names.load.lower()})
+    excluded = _NOT_FORWARDED_HEADERS | _connection_options(headers)
+    return _without(headers, excluded | {names.load.lower()})
 
 
 def _forwarded_headers(
     headers: httputil.HTTPHeaders, names: HeaderNames
 ) -> httputil.HTTPHeaders:
-    internal = (
+    gateway_only = (
         names.account,
         names.deadline_ms,
         names.expected_instance,
@@ -133,16 +134,18 @@
         *names.reserved,
         _CREDENTIALS_HEADER,
     )
-    hidden = _HOP_BY_HOP | _connection_options(headers)
-    return _without(headers, hidden | {name.lower() for name in internal})
+    excluded = _NOT_FORWARDED_HEADERS | _connection_options(headers)
+    return _without(
+        headers, excluded | {name.lower() for name in gateway_only}
+    )
 
 
 def _without(
-    headers: httputil.HTTPHeaders, hidden: collections.abc.Container[str]
+    headers: httputil.HTTPHeaders, excluded: collections.abc.Container[str]
 ) -> httputil.HTTPHeaders:
     filtered = httputil.HTTPHeaders()
     for name, value in headers.get_all():
-        if name.lower() not in hidden:
+        if name.lower() not in excluded:
             filtered.add(name, value)
     return filtered
 
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -56,10 +56,10 @@
         self._metrics = counters
         self._rests = rests.Backoffs()
         self._leaving_since: dict[str, float] = {}
-        counters.gauge('instances_resting', lambda: len(self.resting))
+        counters.gauge('instances_resting', lambda: len(self.in_backoff))
 
     @property
-    def resting(self) -> list[str]:
+    def in_backoff(self) -> list[str]:
         """Ids of the instances that currently rest."""
         return self._rests.active(_now()) if self._rests else []
 
@@ -83,7 +83,7 @@
         if asked_s is not None:
             self._start_rest(instance, head.status, asked_s)
 
-    def rest_remaining_s(self, instance: str) -> float:
+    def backoff_remaining_s(self, instance: str) -> float:
         """Return the remaining rest of an instance, in seconds."""
         return self._rests.remaining_s(instance, _now())
 
@@ -92,7 +92,7 @@
         if self._rests:
             self._rests.record_answer(instance, _now())
 
-    def not_resting(self, instances: Instances) -> Instances:
+    def not_in_backoff(self, instances: Instances) -> Instances:
         """Return the instances that do not rest."""
         if not self._rests:
             return instances
@@ -103,10 +103,10 @@
             if not self._rests.remaining_s(instance.id, now)
         ]
 
-    def within_ramp_up(
+    def within_slow_start(
         self, instances: Instances, running: Running
     ) -> Instances:
-        """Return the instances whose ramp-up after rest allows a request.
+        """Return the instances whose slow start allows a request.
 
         :param running: in-flight requests of this gateway, by instance id
         """
@@ -148,12 +148,12 @@
         """Return the loop time of an instance's first leaving header."""
         return self._leaving_since.get(instance)
 
-    def check_not_resting(self, instance: placement.Instance) -> None:
+    def check_not_in_backoff(self, instance: placement.Instance) -> None:
         """Check that an instance does not rest.
 
         :raises errors.InstanceRests: if it does
         """
-        remaining_s = self.rest_remaining_s(instance.id)
+        remaining_s = self.backoff_remaining_s(instance.id)
         if remaining_s:
             raise errors.InstanceRests(
                 f'{instance.id} is resting', retry_after=remaining_s
@@ -167,7 +167,7 @@
         :param instances: resting instances that it may use; not empty
         """
         remaining_s = min(
-            self.rest_remaining_s(instance.id) for instance in instances
+            self.backoff_remaining_s(instance.id) for instance in instances
         )
         return remaining_s + random.uniform(0.0, _RETRY_JITTER_MAX_S)
 
--- a/src/honeyport/gateway/lease_gate.py
+++ b/src/honeyport/gateway/lease_gate.py
@@ -68,7 +68,7 @@
 
     def _start_state(self) -> admission.StartState:
         return admission.StartState(
-            started=self._started_at, has_served=self._has_served
+            started=self._started_at, has_held_lease=self._has_served
         )
 
 
--- a/src/honeyport/gateway/pool.py
+++ b/src/honeyport/gateway/pool.py
@@ -14,7 +14,7 @@
 
 _CONNECT_TIMEOUT_S = 0.3
 # TCP_USER_TIMEOUT: closes a connection whose data is not acknowledged.
-_USER_TIMEOUT_MS = 1000
+_TCP_USER_TIMEOUT_MS = 1000
 # TCP keep-alive, in whole seconds (the kernel's resolution).
 _KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES = 2
@@ -134,7 +134,7 @@
     """Make the kernel detect a peer that is gone without closing."""
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEP_ALIVE_INTERVAL_S),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEP_ALIVE_INTERVAL_S),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEP_ALIVE_PROBES),
@@ -149,8 +149,8 @@
     Unread bytes on an idle connection belong to no request.
     """
     stream = connection.stream
-    expired = connection.expires_at < asyncio.get_running_loop().time()
-    if expired or stream.closed():
+    is_expired = connection.expires_at < asyncio.get_running_loop().time()
+    if is_expired or stream.closed():
         return False
     # Tornado reads ahead; it has no public access to its read buffer.
     if stream._read_buffer_size:
--- a/src/honeyport/gateway/request_log.py
+++ b/src/honeyport/gateway/request_log.py
@@ -39,9 +39,9 @@
         :param exchange: ``None`` if it was not admitted
         :param error: the error that was returned to the caller, if any
         """
-        took_s = asyncio.get_running_loop().time() - request.received
+        elapsed_s = asyncio.get_running_loop().time() - request.received
         self._metrics.count('requests', outcome=event.name)
-        self._metrics.observe('request_seconds', took_s)
+        self._metrics.observe('request_seconds', elapsed_s)
         if exchange is not None:
             self._metrics.observe('request_waited_seconds', exchange.waited_s)
         if exchange is not None and exchange.first_byte_s is not None:
@@ -50,7 +50,7 @@
             )
         fields: dict[str, typing.Any] = {
             'request': request.request_id,
-            'took_ms': round(took_s * 1000, 1),
+            'took_ms': round(elapsed_s * 1000, 1),
             'lease_left_s': round(self._state.lease_left, 2),
         }
         if exchange is not None:
--- a/src/honeyport/gateway/server.py
+++ b/src/honeyport/gateway/server.py
@@ -57,7 +57,7 @@
 
     @property
     def closing(self) -> bool:
-        """Whether answers carry ``Connection: close``."""
+        """Whether responses carry ``Connection: close``."""
         return self._closing
 
     @property
@@ -104,7 +104,7 @@
 
 
 class _ExchangeHandler(httputil.HTTPMessageDelegate):
-    """Handles one request; its task runs until the answer is written."""
+    """Handles one request; its task runs until the response is written."""
 
     def __init__(
         self,
@@ -118,12 +118,12 @@
         self._headers = httputil.HTTPHeaders()
         self._body = bytearray()
         self._task: asyncio.Task[None] | None = None
-        self._started = False
+        self._is_started = False
 
     @property
-    def started(self) -> bool:
-        """Whether the head of an answer has been written."""
-        return self._started
+    def is_started(self) -> bool:
+        """Whether the head of a response has been written."""
+        return self._is_started
 
     # -- httputil.HTTPMessageDelegate ------------------------------------
 
@@ -138,7 +138,7 @@
 
     def finish(self) -> None:
         self._connection.set_close_callback(self._on_closed)
-        self._task = asyncio.create_task(self._serve())
+        self._task = asyncio.create_task(self._handle_request())
 
     def on_connection_close(self) -> None:
         self._on_closed()
@@ -147,16 +147,16 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def _serve(self) -> None:
+    async def _handle_request(self) -> None:
         try:
-            await self._forward()
+            await self._forward_request()
         except iostream.StreamClosedError:
             pass  # the caller disconnected; the forwarder has logged it
         except Exception as error:
             logs.emit(events.REQUEST_FAILED, error=repr(error), exc_info=True)
             self._stream.close()
 
-    async def _forward(self) -> None:
+    async def _forward_request(self) -> None:
         assert self._start_line is not None
         try:
             if self._caller_server.refusing:
@@ -185,7 +185,7 @@
     async def end(self) -> None:
         self._connection.finish()
 
-    async def answer(self, head: attempt.Head, body: bytes) -> None:
+    async def send_response(self, head: attempt.Head, body: bytes) -> None:
         headers = self._forwarded_headers(head)
         if head.status not in (204, 304):
             headers['Content-Length'] = str(len(body))
@@ -193,7 +193,7 @@
         self._connection.finish()
 
     async def refuse(self, error: errors.HoneyportError) -> None:
-        if self._started:
+        if self._is_started:
             self._stream.close()
             return
         body = json.dumps({'error': error.to_dict()}).encode()
@@ -223,7 +223,7 @@
         headers: httputil.HTTPHeaders,
         body: bytes | None = None,
     ) -> None:
-        self._started = True
+        self._is_started = True
         if self._caller_server.closing:
             headers['Connection'] = 'close'
         start_line = httputil.ResponseStartLine('HTTP/1.1', status, reason)
--- a/src/honeyport/gateway/sse.py
+++ b/src/honeyport/gateway/sse.py
@@ -12,22 +12,25 @@
 
     def __init__(self) -> None:
         self._partial = b''
-        self._last_id = ''
+        self._last_event_id = ''
 
     @property
-    def last_id(self) -> str:
+    def last_event_id(self) -> str:
         """Id of the last complete event, or ``''``."""
-        return self._last_id
+        return self._last_event_id
 
     def feed(self, chunk: bytes) -> bytes:
         """Add a chunk and return the events that are now complete."""
         data = self._partial + chunk
-        end = max(_end_of_last(data, b'\n\n'), _end_of_last(data, b'\r\n\r\n'))
+        end = max(
+            _offset_after_last(data, b'\n\n'),
+            _offset_after_last(data, b'\r\n\r\n'),
+        )
         self._partial = data[end:]
         complete = data[:end]
-        last_id = _last_id(complete)
-        if last_id:
-            self._last_id = last_id
+        last_event_id = _find_last_event_id(complete)
+        if last_event_id:
+            self._last_event_id = last_event_id
         return complete
 
     def partial(self) -> bytes:
@@ -39,13 +42,13 @@
         self._partial = b''
 
 
-def _end_of_last(data: bytes, separator: bytes) -> int:
+def _offset_after_last(data: bytes, separator: bytes) -> int:
     """Return the offset after the last separator, or 0."""
     start = data.rfind(separator)
     return start + len(separator) if start >= 0 else 0
 
 
-def _last_id(complete: bytes) -> str:
+def _find_last_event_id(complete: bytes) -> str:
     """Return the last event id in complete events, or ``''``."""
     for line in reversed(complete.splitlines()):
         if line.startswith(_ID_FIELD):
--- a/src/honeyport/policy/admission.py
+++ b/src/honeyport/policy/admission.py
@@ -29,11 +29,11 @@
     """The history of a gateway that has no lease.
 
     :ivar started: when it began to accept connections, as loop time
-    :ivar has_served: whether it has held a lease since then
+    :ivar has_held_lease: whether it has held a lease since then
     """
 
     started: float
-    has_served: bool
+    has_held_lease: bool
 
 
 def lease_wait_deadline(
@@ -46,7 +46,7 @@
     :returns: loop time, or ``None`` if it is refused at once
     """
     latest_lease_at = start_state.started + _FIRST_LEASE_MAX_S
-    if start_state.has_served or now >= latest_lease_at:
+    if start_state.has_held_lease or now >= latest_lease_at:
         return None
     if deadline <= max(now, start_state.started + _FIRST_LEASE_EXPECTED_S):
         return None
@@ -55,7 +55,7 @@
 
 def retry_after_s(start_state: StartState, now: float) -> float:
     """Return the retry delay for a refused caller, in seconds."""
-    if start_state.has_served:
+    if start_state.has_held_lease:
         return _OTHER_GATEWAY_RETRY_S
     if now >= start_state.started + _FIRST_LEASE_MAX_S:
         return _NO_QUORUM_RETRY_S
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -28,7 +28,7 @@
 class _FailureRecord:
     failures: int = 0
     paused_until: float = 0.0
-    was_reached: bool = True
+    connected: bool = True
     failed_at: float = 0.0
 
 
@@ -43,17 +43,17 @@
         self._records.pop(instance, None)
 
     def record_failure(
-        self, instance: str, now: float, *, was_reached: bool = True
+        self, instance: str, now: float, *, connected: bool = True
     ) -> Pause:
         """Record a failure of an instance.
 
         :param now: as loop time, in seconds
-        :param was_reached: whether it accepted the connection
+        :param connected: whether it accepted the connection
         """
         record = self._records.setdefault(instance, _FailureRecord())
         pause_s = min(_FIRST_PAUSE_S * 2**record.failures, _MAX_PAUSE_S)
         record.failures += 1
-        record.was_reached = was_reached
+        record.connected = connected
         record.failed_at = now
         record.paused_until = now + pause_s
         return Pause(record.failures, pause_s)
@@ -72,7 +72,7 @@
         return [
             instance
             for instance, record in self._records.items()
-            if not record.was_reached
+            if not record.connected
             and record.failed_at + _REPORT_UNREACHABLE_S > now
         ]
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -19,8 +19,8 @@
 # Load bound: this multiple of the mean, plus a number of requests.
 _BOUND_MEAN_MULTIPLE = 1.8
 _BOUND_EXTRA_REQUESTS = 1
-# How long prefixes may be copied from a leaving instance.
-_COPY_FROM_LEAVING_MAX_S = 3.0
+# How long a leaving instance may be a cache source.
+_LEAVING_SOURCE_MAX_S = 3.0
 
 
 @attrs.frozen
@@ -51,7 +51,8 @@
     :ivar load: the requests that run there, through any gateway
     :ivar bound: the load that it had to be below; 0 if there was no bound
     :ivar usable: the number of instances to choose from
-    :ivar source: an instance that likely caches more of the prompt's prefix
+    :ivar source: the cache source, which likely caches more of the prompt's
+        prefix
     """
 
     instance: Instance
@@ -146,14 +147,14 @@
     return Choice(by_id[chosen_id], -1, load, 0.0, len(instances))
 
 
-def can_be_copied_from(leaving_s: float, *, is_healthy: bool) -> bool:
-    """Whether other instances may copy cached prefixes from an instance.
+def is_available_source(leaving_s: float, *, is_healthy: bool) -> bool:
+    """Whether an instance may be a cache source for others.
 
     :param leaving_s: seconds since it became known that it leaves; 0 if it
         does not leave
     :param is_healthy: whether it has not failed since its last answer
     """
-    return is_healthy and leaving_s < _COPY_FROM_LEAVING_MAX_S
+    return is_healthy and leaving_s < _LEAVING_SOURCE_MAX_S
 
 
 def find_cache_source(
@@ -185,7 +186,7 @@
 ) -> Instance | None:
     """Return the best-ranked instance for a prompt.
 
-    A leaving instance is preferred to its successor at the same place.
+    A leaving instance is preferred to the new holder of its place.
     """
     by_place: dict[str, Instance] = {}
     for instance in instances:
