--- a/src/honeyport/gateway/balancer.py
+++ b/src/honeyport/gateway/balancer.py
@@ -57,7 +57,7 @@
         self._list_number = 0
         self._instances_by_service: dict[str, list[placement.Instance]] = {}
         self._running: collections.Counter[str] = collections.Counter()
-        self._health = health.Health()
+        self._health = health.FailureTracker()
         self._fleet_unreachable: collections.abc.Set[str] = frozenset()
         self._remote_running: collections.abc.Mapping[str, int] = {}
         self._remote_counted_at = float('-inf')
@@ -322,7 +322,7 @@
         :param connected: whether a connection to it was established
         """
         self._prefix_holders.forget_instance(instance.id)
-        pause = self._health.record_failure(
+        failure_pause = self._health.record_failure(
             instance.id, _now(), connected=connected
         )
         logs.emit(
@@ -330,8 +330,8 @@
             backend=instance.id,
             address=instance.address,
             reason=reason,
-            failures=pause.failures,
-            pause_s=pause.pause_s,
+            failures=failure_pause.failures,
+            pause_s=failure_pause.pause_s,
         )
 
     def _update_listed_leaving_since(self, since: float) -> None:
--- a/src/honeyport/gateway/routes.py
+++ b/src/honeyport/gateway/routes.py
@@ -47,7 +47,10 @@
                 (name, route)
             )
         for routes in self._routes_by_host.values():
-            routes.sort(key=lambda pair: len(pair[1].prefix), reverse=True)
+            routes.sort(
+                key=lambda named_route: len(named_route[1].prefix),
+                reverse=True,
+            )
 
     @property
     def version(self) -> int:
--- a/src/honeyport/policy/health.py
+++ b/src/honeyport/policy/health.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Pause:
+class FailurePause:
     """The pause of an instance after a failure.
 
     :ivar failures: the number of consecutive failures
@@ -32,7 +32,7 @@
     failed_at: float = 0.0
 
 
-class Health:
+class FailureTracker:
     """The consecutive failures of instances since their last answer."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
 
     def record_failure(
         self, instance: str, now: float, *, connected: bool = True
-    ) -> Pause:
+    ) -> FailurePause:
         """Record a failure of an instance.
 
         :param now: as loop time, in seconds
@@ -56,7 +56,7 @@
         record.connected = connected
         record.failed_at = now
         record.paused_until = now + pause_s
-        return Pause(record.failures, pause_s)
+        return FailurePause(record.failures, pause_s)
 
     def is_healthy(self, instance: str) -> bool:
         """Whether an instance has not failed since it last answered."""
@@ -76,7 +76,7 @@
             and record.failed_at + _REPORT_UNREACHABLE_S > now
         ]
 
-    def retain(self, present: set[str]) -> None:
-        """Drop the instances that are not present."""
-        for instance in set(self._records) - present:
+    def retain(self, listed_ids: set[str]) -> None:
+        """Drop the instances that are not listed."""
+        for instance in set(self._records) - listed_ids:
             del self._records[instance]
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -77,7 +77,7 @@
 
 
 class RetryBudgets:
-    """This gateway's share of the allowance, for each service.
+    """This gateway's retry budget, for each service.
 
     :param gateways: returns the number of serving gateways; 0 if unknown
     """
