--- a/src/honeyport/backend/registry.py
+++ b/src/honeyport/backend/registry.py
@@ -34,7 +34,7 @@
         """
 
     async def cancel(self, request_id: str) -> None:
-        """Cancel a request whose caller is gone."""
+        """Cancel a request whose caller has disconnected."""
 
     async def probe(self) -> Load:
         """Return the current load, as a health check.
--- a/src/honeyport/client.py
+++ b/src/honeyport/client.py
@@ -292,7 +292,7 @@
     def _routers_to_ask(self) -> list[str]:
         """Return the seed routers in random order, then discovered ones.
 
-        Discovered routers keep discovery working after all seeds are gone.
+        Discovered routers keep discovery working when no seed router responds.
         """
         seeds = self._random.sample(
             self._seed_routers, len(self._seed_routers)
--- a/src/honeyport/control/deltas.py
+++ b/src/honeyport/control/deltas.py
@@ -21,7 +21,7 @@
 
     :ivar base: the number of the older one; 0 if this is the whole state
     :ivar put: keys that are new or whose values changed
-    :ivar removed: keys that are gone
+    :ivar removed: keys of removed entries
     """
 
     base: int
--- a/src/honeyport/control/evacuations.py
+++ b/src/honeyport/control/evacuations.py
@@ -2,7 +2,7 @@
 
 An acknowledged order is part of the replicated state. The routers' streams
 carry the evacuated domains ahead of leases and configurations, so that every
-router with a lease from this leader knows them.
+router with a lease from this leader has them.
 """
 
 from honeyport.control import replica
--- a/src/honeyport/control/fleet.py
+++ b/src/honeyport/control/fleet.py
@@ -1,6 +1,6 @@
 """The leader's state of the routers: leases, view and loads.
 
-It is kept in memory only. A new leader learns it from the routers, and waits
+It is kept in memory only. A new leader rebuilds it from the reports and waits
 until every lease that its predecessor may have granted has ended before it
 changes the members of the view.
 """
--- a/src/honeyport/control/sessions.py
+++ b/src/honeyport/control/sessions.py
@@ -29,7 +29,7 @@
 from honeyport.wire import outbox
 
 _TICK_S = 0.05  # period of checks and of updates to the routers
-# A router's load is used for so many report periods.
+# Report periods after which a router's load is ignored.
 _MAX_REPORT_AGE_PERIODS = 3
 _State = pb.ClaimAnswer
 
--- a/src/honeyport/router/frames.py
+++ b/src/honeyport/router/frames.py
@@ -75,7 +75,7 @@
 def decode_frame(message: pb.Frame) -> exchange.Frame:
     """Return the frame in a message.
 
-    :raises errors.HoneyportError: if the message says that the call failed
+    :raises errors.HoneyportError: if the message reports that the call failed
     """
     body_type = message.WhichOneof('body')
     if body_type == 'data':
--- a/src/honeyport/router/session.py
+++ b/src/honeyport/router/session.py
@@ -54,7 +54,7 @@
         follows the view before; ``None`` for a router that owns no backend
         servers and receives no views
     :param on_message: called after each message was applied
-    :param suspect_tracker: sends reports of crashes, and asks for permits
+    :param suspect_tracker: sends reports of crashes, and requests permits
     """
 
     def __init__(
--- a/src/honeyport/router/steward.py
+++ b/src/honeyport/router/steward.py
@@ -147,7 +147,7 @@
         """Admit a call, send it, and yield its answer's frames.
 
         :raises errors.HoneyportError: if the call was refused or failed; its
-            ``ran`` attribute says whether the call may have run
+            ``ran`` attribute tells whether the call may have run
         """
         request = fingerprints.compute(
             call.account, call.service, call.path, call.body
@@ -516,7 +516,7 @@
         call: exchange.Call,
         started_at: float,
     ) -> None:
-        """Cancel a call whose caller has gone; its slot is freed after."""
+        """Cancel a call whose caller disconnected, then free its slot."""
         task = asyncio.create_task(self._cancel_call(server, call, started_at))
         self._cancel_tasks.add(task)
         task.add_done_callback(self._cancel_tasks.discard)
--- a/src/honeyport/router/suspects.py
+++ b/src/honeyport/router/suspects.py
@@ -48,7 +48,7 @@
 
 
 class SuspectTracker:
-    """The suspect requests that this router knows of."""
+    """The suspect requests that the leader sent or this router observed."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._metrics = counters
--- a/src/honeyport/standin/executions.py
+++ b/src/honeyport/standin/executions.py
@@ -1,4 +1,4 @@
-"""Execution log: one JSON line for each event that really happened."""
+"""Execution log: one JSON line for each event of an execution."""
 
 import json
 import pathlib
--- a/src/honeyport/telemetry/traces.py
+++ b/src/honeyport/telemetry/traces.py
@@ -1,6 +1,6 @@
 """Tracing with a span for each hop of a request.
 
-The OpenTelemetry SDK takes several megabytes of memory, so it is imported
+The OpenTelemetry SDK uses several megabytes of memory, so it is imported
 only if an exporter is configured.
 """
 
