--- a/src/honeyport/control/replica.py
+++ b/src/honeyport/control/replica.py
@@ -309,7 +309,7 @@
             self._timer.restart()
             return
         async with self._lock:
-            # If we voted for another candidate during the trial, a higher
+            # If we voted for another candidate during the pre-vote, a higher
             # term would depose the leader that it may have become.
             if self._timer.has_recent_leader or self.term + 1 != term:
                 return
--- a/src/honeyport/policy/addresses.py
+++ b/src/honeyport/policy/addresses.py
@@ -17,8 +17,7 @@
 # Lifetime of a list, and while gateways drain.
 _LIFETIME_S = 5.0
 _LIFETIME_WHILE_DRAINING_S = 1.0
-# Time after the last draining gateway until the normal lifetime applies again;
-# covers the interval between two gateways of a rolling restart.
+# Time after a gateway was last draining until the normal lifetime applies.
 _DRAINING_ENDS_AFTER_S = 6.0
 # Without contact to control for this long, a gateway is no longer listed by
 # the others, and so not by itself.
--- a/src/honeyport/policy/cold.py
+++ b/src/honeyport/policy/cold.py
@@ -18,14 +18,13 @@
 
 from honeyport.policy import hashing
 
-# The window in which the rate limit is measured.
+# The window of the rate limit, in seconds.
 _WINDOW_S = 1.0
 # Share of the limit that the quotas add up to.
 _QUOTA_SHARE = 0.5
 # The same while all usable instances are cold.
 _QUOTA_SHARE_ALL_COLD = 0.8
-# How long gateways count after they were last listed; a new leader lists only
-# some of them at first.
+# How long an unlisted gateway still counts when the quotas are divided.
 _REMEMBER_GATEWAY_S = 5.0
 
 GatewayNames = collections.abc.Collection[str]
@@ -68,7 +67,8 @@
     def extend(self, instance: str, until: float, same_s: float = 0.0) -> bool:
         """Extend the cold period of an instance; return whether it changed.
 
-        A period is never shortened, since it may come from a better source.
+        A period is never shortened: the one in the instance list may end
+        before the one that a gateway started for a restored failure domain.
 
         :param until: loop time of the new end
         :param same_s: a new end that is later by no more than this many
--- a/src/honeyport/policy/hashing.py
+++ b/src/honeyport/policy/hashing.py
@@ -84,8 +84,9 @@
 def load_bound(multiple: float, total: int, count: int) -> int:
     """Return the maximum load for each of ``count`` candidates.
 
-    Consistent hashing with bounded loads (Mirrokni, Thorup and
-    Zadimoghaddam, 2016); the mean includes the new request.
+    The bound of consistent hashing with bounded loads (Mirrokni, Thorup and
+    Zadimoghaddam, 2016): a multiple of the mean load, rounded up, which a
+    load may reach. The mean includes the new request.
 
     :param multiple: of the mean load; above 1
     :param total: requests on all candidates before the new one
--- a/src/honeyport/policy/pacing.py
+++ b/src/honeyport/policy/pacing.py
@@ -5,9 +5,10 @@
 would cause an election.
 """
 
-# Share of the link; the rest is for heartbeats, leases and callers.
+# Share of the link's bandwidth at which the bucket is refilled; the rest is
+# for heartbeats, leases and callers.
 _LINK_SHARE = 0.5
-# Capacity of the bucket, in seconds at that rate.
+# Time in which an empty bucket is refilled, which sets its capacity.
 _BURST_S = 0.1
 _BITS_PER_BYTE = 8
 
--- a/src/honeyport/policy/placement.py
+++ b/src/honeyport/policy/placement.py
@@ -90,6 +90,10 @@
 ) -> Choice:
     """Return the best-ranked instance for a prompt that is below the bound.
 
+    The bound is a multiple of the mean load, not rounded, plus a fixed number
+    of requests. The mean includes the new request; the load that is compared
+    does not. If no instance is below it, the load alone decides.
+
     :param parts: the parts of the prompt, not empty
     :param domain: the failure domain of this gateway
     """
--- a/src/honeyport/policy/places.py
+++ b/src/honeyport/policy/places.py
@@ -157,7 +157,7 @@
         self._places[instance.id] = place
 
     def _drop_unlisted_holders(self) -> None:
-        """Drop unlisted instances whose places have new holders."""
+        """Drop unlisted instances that are no longer the holder of a place."""
         holders = {
             assignment.holder for assignment in self._assignments.values()
         }
--- a/src/honeyport/policy/reach.py
+++ b/src/honeyport/policy/reach.py
@@ -4,8 +4,10 @@
 all domains that have gateways. A failure domain without reporting gateways is
 excluded as a whole if enough of its instances are unreachable.
 
-An exclusion expires, so that requests can detect the return of the instance.
-If the instance is reported again, the next exclusion lasts twice as long.
+The exclusion of an unreachable instance or a failure domain expires, so that
+requests can detect its return; if it is reported again soon, the next one
+lasts twice as long, up to a maximum. An instance in backoff is excluded only
+as long as enough gateways report it.
 """
 
 import collections
@@ -14,8 +16,7 @@
 import attrs
 
 _AGREEING_DOMAINS_NEEDED = 2
-# Duration of the first and of the longest exclusion. The first is longer than
-# a gateway reports one failure.
+# Duration of the first and of the longest exclusion.
 _FIRST_EXCLUSION_S = 2.0
 _MAX_EXCLUSION_S = 8.0
 # If an instance is reported again within this time after an exclusion, the
--- a/src/honeyport/policy/readings.py
+++ b/src/honeyport/policy/readings.py
@@ -28,8 +28,8 @@
     """The result of reading the list.
 
     :ivar instances: the usable instances, in the order of the list
-    :ivar refusals: the entries that cannot be used
-    :ivar missing: why a part of the list could not be read, or ``''``
+    :ivar refused_entries: the entries that cannot be used
+    :ivar missing_reason: why a part of the list could not be read, or ``''``
     :ivar retry_after_s: the delay that the server requested before the next
         reading, in seconds; 0 if none
     """
--- a/src/honeyport/policy/repeats.py
+++ b/src/honeyport/policy/repeats.py
@@ -10,13 +10,13 @@
 
 import attrs
 
-# Shares of the allowance that are used. The margin covers gateways that lose
-# their counts in a restart, up to twice within a window.
+# Shares of the allowance's ratio and of its extra retries that the budgets of
+# all gateways add up to.
 _RATIO_SHARE = 0.5
 _EXTRA_SHARE = 1 / 3
 # Assumed number of gateways while it is unknown.
 _ASSUMED_GATEWAYS = 64
-# Buckets of a sliding window; its counts are accurate to one bucket.
+# Steps of a sliding window; its counts are accurate to one step.
 _STEPS_PER_WINDOW = 20
 
 
--- a/src/honeyport/policy/rests.py
+++ b/src/honeyport/policy/rests.py
@@ -9,8 +9,9 @@
 # Maximum random delay after a backoff, as a share of it and in seconds.
 _JITTER_SHARE = 0.2
 _MAX_JITTER_S = 1.0
-# Slow start after a backoff: the limit of concurrent requests from this
-# gateway doubles with each answer, and ends above the maximum.
+# Slow start after a backoff: the first and the largest limit of concurrent
+# requests from this gateway. The limit doubles with each answer; once it would
+# exceed the largest, the slow start ends and there is no limit.
 _SLOW_START_REQUESTS = 1
 _SLOW_START_MAX_REQUESTS = 16
 
--- a/src/honeyport/policy/retry_after.py
+++ b/src/honeyport/policy/retry_after.py
@@ -24,7 +24,7 @@
 
 
 def parse_delay_s(text: str) -> float | None:
-    """Return the delay in a header, or ``None`` if it is invalid or over.
+    """Return the delay in a header, or ``None`` if invalid or already past.
 
     Accepts fractions of seconds as well, which some platforms send. A date is
     compared with the local clock.
--- a/src/honeyport/policy/roster.py
+++ b/src/honeyport/policy/roster.py
@@ -2,7 +2,7 @@
 
 After a restart of all processes, the settings of a router may name no control
 replica. So the replicas store the addresses of the routers, and the leader
-connects to those that have no stream.
+connects to those that have no stream to it.
 """
 
 import collections.abc
@@ -10,7 +10,8 @@
 import attrs
 
 # Pauses between attempts to connect to a router, which double up to the
-# maximum; after the time of a restart, the late pause applies.
+# maximum. The late pause applies to routers that have been disconnected for
+# longer than a restart may take.
 _FIRST_PAUSE_S = 0.5
 _MAX_PAUSE_S = 4.0
 _RESTART_MAX_S = 60.0
