--- a/src/honeyport/gateway/attempt.py
+++ b/src/honeyport/gateway/attempt.py
@@ -165,7 +165,8 @@
         """Return the complete response; the connection is reusable afterwards.
 
         :raises errors.BackendLost: if the connection broke
-        :raises errors.ForeignAnswer: if no response to this request came
+        :raises errors.ForeignAnswer: if no response to this request came, or
+            a success without a digest
         """
         try:
             for number in range(_MAX_FOREIGN_RESPONSES + 1):
--- a/src/honeyport/gateway/daemon.py
+++ b/src/honeyport/gateway/daemon.py
@@ -132,7 +132,12 @@
         self._session.set_control_addresses(control)
 
     def register(self, server: grpc.aio.Server) -> None:
-        """Register the leader's introduction call on a replica's server."""
+        """Add the service by which a leader makes itself known to this router.
+
+        If no leader is attached, the router tries this one next.
+
+        :param server: the gRPC server of the control replica in this process
+        """
         redirector.register(server, self._session, beside_replica=True)
 
     async def start(
@@ -190,7 +195,7 @@
         self._gate.update()
         now = asyncio.get_running_loop().time()
         self._lifetime.record_draining(self._state.draining_routers, now)
-        # Before the list, which is read with the cold limits of services.
+        # Before set_evacuated, which uses the cold limits of the services.
         if self._state.version != self._version:
             self._version = self._state.version
             self._apply_configuration(self._state.bundle)
--- a/src/honeyport/gateway/exchanges.py
+++ b/src/honeyport/gateway/exchanges.py
@@ -48,7 +48,8 @@
 
     :ivar deadline: loop time by which it needs its final response
     :ivar version: version of the configuration that admitted it
-    :ivar fingerprint: equal for all attempts of the same request
+    :ivar fingerprint: identifies the request also if the caller sends it again
+        under a new id (:mod:`honeyport.policy.fingerprints`)
     :ivar tried: ids of the instances that were tried
     :ivar offers: number of attempts, including refused ones
     :ivar possible_runs: number of attempts that may have run
--- a/src/honeyport/gateway/forward.py
+++ b/src/honeyport/gateway/forward.py
@@ -181,8 +181,8 @@
 
         :raises errors.HoneyportError: if it may not be sent now
         """
-        # Do not retry before it is known whether the request crashed the
-        # previous instance.
+        # After this many possible runs, the request needs a permit if each
+        # crashed its instance. So wait until it is known whether the last did.
         if exchange.possible_runs >= suspicion.PERMIT_MIN_ENDS:
             await self._end_detector.wait_probed(exchange.instance_id)
         async with self._suspects.admit(
--- a/src/honeyport/gateway/instance_signals.py
+++ b/src/honeyport/gateway/instance_signals.py
@@ -1,6 +1,6 @@
-"""Signals of instances in response headers: rests and departures.
+"""Signals of instances in response headers: backoffs and departures.
 
-An instance asks for rest with ``Retry-After`` and announces its departure
+An instance requests a backoff with ``Retry-After`` and announces its departure
 with the ``leaving`` header.
 """
 
@@ -35,9 +35,9 @@
 
 
 class InstanceSignals:
-    """Tracks rests and departures that instances announced.
+    """Tracks backoffs and departures that instances announced.
 
-    Rests are reported to control, which passes them on to other gateways;
+    Backoffs are reported to control, which passes them on to other gateways;
     departures are not, as every answer of a leaving instance announces them.
 
     :param names: header names
@@ -60,7 +60,7 @@
 
     @property
     def in_backoff(self) -> list[str]:
-        """Ids of the instances that currently rest."""
+        """Ids of the instances that are in backoff now."""
         return self._rests.active(_now()) if self._rests else []
 
     def observe(
@@ -84,7 +84,7 @@
             self._start_rest(instance, head.status, asked_s)
 
     def backoff_remaining_s(self, instance: str) -> float:
-        """Return the remaining rest of an instance, in seconds."""
+        """Return the remaining backoff of an instance, in seconds."""
         return self._rests.remaining_s(instance, _now())
 
     def record_success(self, instance: str) -> None:
@@ -93,7 +93,7 @@
             self._rests.record_answer(instance, _now())
 
     def not_in_backoff(self, instances: Instances) -> Instances:
-        """Return the instances that do not rest."""
+        """Return the instances that are not in backoff."""
         if not self._rests:
             return instances
         now = _now()
@@ -149,9 +149,9 @@
         return self._leaving_since.get(instance)
 
     def check_not_in_backoff(self, instance: placement.Instance) -> None:
-        """Check that an instance does not rest.
+        """Check that an instance is not in backoff.
 
-        :raises errors.InstanceRests: if it does
+        :raises errors.InstanceRests: if it is
         """
         remaining_s = self.backoff_remaining_s(instance.id)
         if remaining_s:
@@ -164,7 +164,7 @@
     ) -> float:
         """Return after how long a caller should retry, in seconds.
 
-        :param instances: resting instances that it may use; not empty
+        :param instances: instances in backoff that it may use; not empty
         """
         remaining_s = min(
             self.backoff_remaining_s(instance.id) for instance in instances
@@ -180,7 +180,7 @@
     def _log_if_resting(
         self, instance: placement.Instance, sent_at: float
     ) -> None:
-        """Log and count a request that was sent to a resting instance."""
+        """Log and count a request sent to an instance in backoff."""
         rested_s = self._rests.elapsed_s(instance.id, sent_at)
         if rested_s is None:
             return
--- a/src/honeyport/gateway/server.py
+++ b/src/honeyport/gateway/server.py
@@ -47,7 +47,7 @@
 
     @property
     def names(self) -> gateway_headers.HeaderNames:
-        """Header names."""
+        """Names of the headers that the gateway reads or sets."""
         return self._names
 
     @property
